--- a/crates/nutmegkeel_core/src/l4.rs
+++ b/crates/nutmegkeel_core/src/l4.rs
@@ -1,8 +1,9 @@
-//! Flows whose packets carry no routing token: only addresses, ports and sequence numbers.
+//! Load balancing of flows whose packets carry no routing token, only addresses, ports and sequence
+//! numbers.
 //!
-//! A balancer finds the agent of such a flow in its own cache or by asking agents in an order that
-//! every balancer computes alike; the agent has the last word, because it alone sees what its
-//! backend server accepted. Nobody holds a table of all flows.
+//! A balancer finds the agent of such a flow in its own cache or by querying agents in an order
+//! that every balancer computes identically. The agent decides whether it holds the flow, because
+//! only it sees what its backend server accepted. No process keeps a table of all flows.
 
 pub mod agent;
 pub mod balancer;
--- a/crates/nutmegkeel_core/src/l4/balancer.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer.rs
@@ -45,36 +45,36 @@
 
 pub use event::{Action, Event};
 
-/// Pause between two ticks, in milliseconds. Gossip goes out with each.
+/// Pause between two ticks, in milliseconds. Gossip is sent with each.
 pub const TICK_MS: u64 = 500;
 
-/// A gap between two events longer than this means that the process stood still: announcements
-/// alone come more often.
+/// Longest usual gap between two events, in milliseconds. A longer one means that the process was
+/// stalled, because announcements alone arrive more often.
 const STANDSTILL_MS: u64 = 1_000;
 
-/// Pause between two looks at agents that fell silent and at clients that wait for a decision, in
-/// milliseconds. A look walks all agents, so it is not done with every packet.
+/// Pause between two checks for silent agents and for clients that wait for a decision, in
+/// milliseconds. A check iterates over all agents, so it is not done with every packet.
 const REVIEW_MS: u64 = 50;
 
-/// Number of a reset that refuses an opening. A client takes any number while its flow is not open.
-/// One that opened the flow elsewhere meanwhile, by a copy that took another way, ignores this one:
-/// it is not near the numbers of its flow but in one of 28,000 cases.
+/// Sequence number of a reset that refuses an opening. A client accepts any number while its flow
+/// is not open. A client whose flow was opened elsewhere by a copy of the opening ignores the
+/// reset: the chance that this number lies in the window of its flow is one in 28,000.
 const REFUSAL_SEQ: u32 = 0x8000_0000;
 
-/// What a balancer knows of itself, fixed at start.
+/// Properties of a balancer that are fixed at start.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Its address.
     pub address: Ipv4Addr,
     /// Failure domain.
     pub domain: Arc<str>,
-    /// Region of each failure domain there is.
+    /// Region of each failure domain.
     pub regions: BTreeMap<Arc<str>, Arc<str>>,
-    /// The mechanisms that it uses.
+    /// The mechanisms that are in use.
     pub policy: Policy,
 }
 
-/// The balancer.
+/// Decides where the packets of flows without a routing token go.
 #[derive(Debug)]
 pub struct Balancer {
     identity: Identity,
@@ -83,7 +83,7 @@
     pool: Pool,
     cache: Cache,
     peers: Book,
-    /// What the other balancers last said of themselves.
+    /// State that the other balancers last reported.
     words: Words,
     /// Whether the store answered the last call.
     reaches_store: bool,
@@ -91,34 +91,36 @@
     last: Time,
     reviewed: Time,
     turn: usize,
-    /// What each other balancer was last told of the balancers.
+    /// What each other balancer was last sent about the balancers.
     told: BTreeMap<Ipv4Addr, Told>,
     introductions: Introductions,
     /// Balancers and agents that changed since the last tick.
     balancers_changed: Turnover,
     agents_changed: Turnover,
-    /// What this balancer last said of all that it hears of.
+    /// Known balancers and agents, as last computed.
     outlook: Option<Outlook>,
     collector: Collector,
-    /// The last turn for a summary that was looked at.
+    /// The last slot for summaries that was checked.
     slot: u64,
     leaving: bool,
     /// Whether packets are kept until the next change.
     keeps: bool,
-    /// What the last review saw of the agents.
+    /// State of the agents at the last review.
     view: View,
-    /// Whether an agent appeared since, or takes flows again.
+    /// Whether an agent has appeared, or accepts flows again, since the last review.
     agent_came: bool,
-    /// How long an agent takes to say whether it holds a flow, in microseconds; zero while that is not known.
+    /// Time that an agent takes to answer whether it holds a flow, in microseconds; zero while
+    /// unknown.
     answer_us: u64,
-    /// Whether the event at hand is a packet that was kept before: only its first time is noted.
+    /// Whether the current event is a packet that was kept before. Keeping a packet is logged only
+    /// once.
     is_again: bool,
-    /// What is known of want of room besides the agents' reports.
+    /// Known shortage of room, beyond what the agents report.
     memory: shortage::Memory,
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet but its seeds.
+    /// Creates a balancer that knows only its seeds.
     #[must_use]
     pub fn open(now: Time, identity: Identity, seeds: &[Ipv4Addr]) -> Self {
         let mut peers = Book::default();
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Takes in an event.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         self.notice_standstill(now);
         let mut actions = self.take_in(now, event);
@@ -209,8 +211,9 @@
         }
     }
 
-    /// Guards against taking all agents for dead after this process stood still: it could not hear
-    /// their announcements, and would reset their flows. The time that passed counts for nobody.
+    /// Guards against resetting the flows of all agents after this process was stalled: it received
+    /// none of their announcements and would take them for dead. The length of the stall is not
+    /// counted as silence of any agent.
     fn notice_standstill(&mut self, now: Time) {
         let gap = now.since(self.last);
         if gap > STANDSTILL_MS {
@@ -221,7 +224,8 @@
     }
 
     fn client(&mut self, now: Time, head: &Head) -> Vec<Action> {
-        // A first opening begins a new flow, whatever is remembered of one between the same ends.
+        // A first opening begins a new flow, even if the cache has an older flow with the same
+        // addresses and ports.
         if head.opens() && head.ack == 0 {
             self.cache.remove(&head.flow);
         }
@@ -239,12 +243,12 @@
         if head.opens() { self.opening(now, head, &route) } else { self.carry(now, head) }
     }
 
-    /// Handles a packet while there is neither a configuration nor a balancer known that has one.
+    /// Handles a packet while neither this balancer nor any other known one has a configuration.
     ///
-    /// Guards against open flows that hang when the whole fleet starts again while the store is away:
-    /// backend servers and their agents live, and clients would wait for an answer until the store is
-    /// back. A packet of an open flow needs no route, because the agent that holds the flow says so. Only
-    /// an opening does.
+    /// Guards against open flows that hang when the whole fleet restarts while the store is
+    /// unreachable: backend servers and their agents are alive, but clients would wait until the
+    /// store is back. A packet of an open flow needs no route, because the agent that holds the
+    /// flow reports it. Only an opening needs one.
     fn unrouted(&mut self, now: Time, head: &Head) -> Vec<Action> {
         if head.opens() || !self.identity.policy.uses(Mechanism::Unrouted) {
             return self.keep(head, Cause::NoConfiguration);
@@ -252,14 +256,14 @@
         self.carry(now, head)
     }
 
-    /// Whether a configuration is in force that has no route for a flow.
+    /// Returns whether a configuration is in force that has no route for a flow.
     fn has_no_route(&self, flow: &Flow) -> bool {
         self.table.version > 0 && !self.table.routes.contains_key(&flow.service)
     }
 
-    /// Services whose agents are asked first for a flow: those of its route. Without a configuration no
-    /// service comes first, and all agents are asked. None if a configuration is in force that has no
-    /// route for the flow.
+    /// Returns the services whose agents are asked first for a flow: those of its route. Without a
+    /// configuration, no service is preferred and all agents are asked. None if a configuration is
+    /// in force that has no route for the flow.
     fn services(&self, flow: &Flow) -> Option<Vec<Service>> {
         if self.table.version == 0 {
             return Some(Vec::new());
@@ -305,7 +309,7 @@
             (Some(agent), Some(_)) if agent != from => Vec::new(),
             (Some(agent), None) if agent != from => vec![carry_to(agent, false)],
             (_, Some(route)) => self.opening(now, head, &route),
-            // An opening that was sent by an earlier process of this host, which had a configuration.
+            // The opening was sent by an earlier process on this host, which had a configuration.
             (_, None) if head.opens() => self.keep(head, Cause::NoConfiguration),
             (_, None) => self.search(now, head),
         };
@@ -326,8 +330,8 @@
         actions
     }
 
-    /// Guards against a configuration that comes late over a slow way: one that is older than what
-    /// is in force would bring dropped routes back.
+    /// Guards against a configuration that arrives late: one older than the current one would
+    /// restore routes that were removed.
     fn configured(&mut self, now: Time, table: Table) -> Vec<Action> {
         if table.version <= self.table.version {
             return Vec::new();
@@ -338,7 +342,7 @@
         self.table = table;
         let mut actions = vec![Action::Note(note)];
         if is_first {
-            // Others that still lack it hand their packets over from now on.
+            // Peers that still lack a configuration forward their packets here from now on.
             let sign = self.sign(now);
             actions.extend(self.peers.iter().map(|peer| Action::Send(peer, sign.clone())));
         } else {
@@ -355,15 +359,15 @@
         self.peers.expire(now);
         self.words.expire(now);
         self.told.retain(|peer, _| self.peers.knows(*peer));
-        // Who has waited too long is answered now, though nothing has changed.
+        // Packets that have been kept too long are answered now, even though nothing has changed.
         let mut actions = self.recall(now);
         actions.extend(self.gossip(now));
         actions.extend(self.note_turnover());
         actions
     }
 
-    /// A reset, unless the packet is one itself. Its number is the client's own acknowledgement
-    /// number, or the client would not take the reset for one of this flow.
+    /// Resets a flow, unless the packet is itself a reset. The reset carries the client's own
+    /// acknowledgement number; the client would ignore any other.
     fn reset(&self, head: &Head, cause: Cause, asked: usize) -> Vec<Action> {
         if head.flags.rst {
             return Vec::new();
--- a/crates/nutmegkeel_core/src/l4/balancer/collector.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/collector.rs
@@ -1,8 +1,9 @@
-//! Collects agents' lists of open flows and has many of them written with one call.
+//! Collects agents' lists of open flows and saves several of them with one store call.
 //!
-//! The load pattern: each agent writes a list whenever a quarter of its flows are new, which at two slots a
-//! server is each few seconds. Calls to the store are priced and its rate is shared, so 136 agents that
-//! write by themselves make half of all calls of a calm day. One transaction takes many lists.
+//! Matters where many agents have short flows: each agent saves a list whenever a quarter of its
+//! flows are new, which is every few seconds with two slots per server. Store calls are billed and
+//! share one rate limit; with 136 agents, lists saved one by one are half of all calls under normal
+//! load. One transaction takes many lists.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -13,24 +14,25 @@
 use crate::l4::handover::GATHER_MS;
 use crate::l4::message::Message;
 
-/// Lists that go at once: as many as one transaction takes.
+/// Maximum number of lists per write: as many as one transaction takes.
 const FULL: usize = 16;
 
-/// A write that has not ended after this is forgotten, in milliseconds: its agents have turned elsewhere.
+/// Time after which a write that has not ended is ignored, in milliseconds. Its agents have used
+/// another way to save their lists by then.
 const WRITING_MS: u64 = 5_000;
 
 /// Lists that wait to be written.
 #[derive(Debug, Default)]
 pub(super) struct Collector {
     lists: BTreeMap<Ipv4Addr, Checkpoint>,
-    /// When the first of these came.
+    /// When the first of these lists arrived.
     since: Option<Time>,
-    /// When the write that goes on now began.
+    /// When the current write began.
     writing: Option<Time>,
 }
 
 impl Collector {
-    /// Takes a list in. An agent's newer list replaces its older one, never the other way round.
+    /// Adds a list. It replaces an older list of the same agent, but never a newer one.
     pub(super) fn take(&mut self, now: Time, from: Ipv4Addr, list: Checkpoint) {
         if self.lists.get(&from).is_some_and(|waiting| waiting.number >= list.number) {
             return;
@@ -39,7 +41,8 @@
         self.lists.insert(from, list);
     }
 
-    /// The lists to write now, if it is time. One write at a time: the next takes all that came meanwhile.
+    /// Returns the lists to write now, if a write is due. Only one write runs at a time; the next
+    /// one takes all lists that arrived during it.
     pub(super) fn due(&mut self, now: Time) -> Option<Vec<(Ipv4Addr, Checkpoint)>> {
         let is_ripe = now.since(self.since?) >= GATHER_MS || self.lists.len() >= FULL;
         let is_writing = self.writing.is_some_and(|began| now.since(began) <= WRITING_MS);
@@ -57,7 +60,8 @@
 }
 
 impl Balancer {
-    /// Tells the agents whose lists are in the store. The others hear nothing and turn elsewhere.
+    /// Notifies the agents whose lists are in the store. Other agents get no answer and save their
+    /// lists another way.
     pub(super) fn committed(&mut self, written: Vec<(Ipv4Addr, u64)>) -> Vec<Action> {
         self.collector.ended();
         let told = written.into_iter();
--- a/crates/nutmegkeel_core/src/l4/balancer/evacuation.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/evacuation.rs
@@ -1,4 +1,5 @@
-//! Evacuated failure domains at a balancer: it learns of them, passes the word on, and places nothing there.
+//! Applies evacuation orders: learns of them, forwards them, and places no flows in evacuated
+//! failure domains.
 
 use super::{Action, Balancer};
 use crate::clock::Time;
@@ -7,7 +8,8 @@
 use crate::l4::note::Note;
 
 impl Balancer {
-    /// Takes in orders from the store or from an agent, and tells the failure domain at once.
+    /// Applies orders from the store or from an agent, and forwards them to the failure domain at
+    /// once.
     pub(super) fn ordered(&mut self, now: Time, orders: &Orders) -> Vec<Action> {
         let mut actions = self.take_orders(now, orders);
         if !actions.is_empty() {
@@ -16,8 +18,8 @@
         actions
     }
 
-    /// Takes in orders that another balancer has. What comes from another failure domain is passed on at
-    /// home: the delegates here may be the ones that the store turns away.
+    /// Applies orders received from another balancer. Orders from another failure domain are
+    /// forwarded within the own one, because the store may be unreachable for the delegates here.
     pub(super) fn hear_orders(&mut self, now: Time, word: &Roster, orders: &Orders) -> Vec<Action> {
         if word.domain == self.identity.domain {
             return self.take_orders(now, orders);
@@ -25,7 +27,8 @@
         self.ordered(now, orders)
     }
 
-    /// What the orders change. Openings that were kept may have a place now, unless there is no route yet.
+    /// Applies orders and returns the resulting actions. Kept openings may be placeable now, unless
+    /// there is no route yet.
     fn take_orders(&mut self, now: Time, orders: &Orders) -> Vec<Action> {
         let was_unknown = self.ledger.orders().is_none();
         let changes = self.ledger.take(orders);
--- a/crates/nutmegkeel_core/src/l4/balancer/event.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a balancer, and what it wants done.
+//! Events that a balancer handles, and the actions that it requests.
 
 use std::net::Ipv4Addr;
 
@@ -10,16 +10,16 @@
 use crate::l4::note::Note;
 use crate::l4::route::Table;
 
-/// What happens to a balancer.
+/// Input of a balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A client's packet came from the fabric.
+    /// A client's packet arrived from the fabric.
     Client(Head),
-    /// A packet that was kept comes again.
+    /// A packet that was kept is handled again.
     Again(Head),
-    /// Another balancer that has no configuration handed a client's packet over.
+    /// Another balancer, which has no configuration, forwarded a client's packet.
     Relayed(Head),
-    /// An agent handed a client's packet back.
+    /// An agent returned a client's packet.
     Declined {
         /// The agent.
         from: Ipv4Addr,
@@ -30,7 +30,7 @@
         /// Load of the agent.
         load: Load,
     },
-    /// An agent said that it holds a flow.
+    /// An agent reported that it holds a flow.
     Holds {
         /// The agent.
         from: Ipv4Addr,
@@ -39,7 +39,7 @@
         /// Load of the agent.
         load: Load,
     },
-    /// An agent said that it does not hold a flow.
+    /// An agent reported that it does not hold a flow.
     Absent {
         /// The agent.
         from: Ipv4Addr,
@@ -48,7 +48,7 @@
         /// Load of the agent.
         load: Load,
     },
-    /// An agent said that it cannot say without a packet whether it holds a flow.
+    /// An agent reported that it needs a packet of a flow to determine whether it holds it.
     Unsure {
         /// The agent.
         from: Ipv4Addr,
@@ -57,35 +57,36 @@
         /// Load of the agent.
         load: Load,
     },
-    /// An agent spoke about itself.
+    /// An agent announced its state.
     Announced(Ipv4Addr, Announcement),
-    /// A balancer of another failure domain, or one that passes it on, told of the agents there.
+    /// A balancer reported the agents of another failure domain, as one of its balancers or by
+    /// forwarding a summary.
     Summary(Summary),
-    /// Another balancer spoke.
+    /// Another balancer reported its state.
     Roster(Ipv4Addr, Roster),
     /// The store's list of balancers was read.
     Listed(Vec<Ipv4Addr>),
     /// A configuration was read.
     Configured(Table),
-    /// The operator's orders of evacuation were read, or an agent told of newer ones.
+    /// The operator's evacuation orders were read, or an agent reported newer ones.
     Ordered(Orders),
-    /// The store answered a call, or did not.
+    /// The store answered a call, or failed to.
     Store(bool),
-    /// An agent handed its list of open flows over.
+    /// An agent asked this balancer to save its list of open flows.
     Deposited(Ipv4Addr, Checkpoint),
-    /// Lists were written to the store, or the try ended: the agents of those that are there, each with
-    /// the number of its list.
+    /// A write of lists to the store ended: the agents whose lists are in the store, each with the
+    /// number of its list.
     Committed(Vec<(Ipv4Addr, u64)>),
-    /// The process was told to stop.
+    /// The process was requested to stop.
     Leave,
     /// Time passed.
     Tick,
 }
 
-/// What the shell must do.
+/// Output of a balancer, to be carried out by its process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message with the packet at hand behind it.
+    /// Send a message followed by the current packet.
     Forward(Ipv4Addr, Message),
     /// Send a message.
     Send(Ipv4Addr, Message),
@@ -96,20 +97,21 @@
         /// Sequence number for it.
         seq: u32,
     },
-    /// Keep the packet at hand, as the last one of its flow, until it is called for.
+    /// Keep the current packet, as the last one of its flow, until it is recalled.
     ///
-    /// Guards against clients that wait for the next of their copies, which come after 200 ms and then
-    /// ever more rarely, when this balancer could decide a few milliseconds later: it has just started
-    /// and lacks the configuration, or the first agents, as all do after a loss of power.
+    /// Guards against clients that wait for their next retransmission, although this balancer could
+    /// decide a few milliseconds later. Retransmissions start after 200 ms and become less
+    /// frequent. A balancer that has just started lacks the configuration or the first agents, as
+    /// all balancers do after a power loss.
     Keep(Head),
     /// Handle the packets that are kept, as [`Event::Again`].
     Recall,
     /// Handle the packet of this flow, if one is kept, as [`Event::Again`].
     RecallFlow(Flow),
-    /// A peer, or an agent, has a newer configuration: fetch it there.
+    /// Fetch a newer configuration from this peer or agent.
     Fetch(Holder),
     /// Write these agents' lists of open flows to the store.
     Commit(Vec<(Ipv4Addr, Checkpoint)>),
-    /// Write a line.
+    /// Write a log line.
     Note(Note),
 }
--- a/crates/nutmegkeel_core/src/l4/balancer/introductions.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/introductions.rs
@@ -1,7 +1,8 @@
-//! How a balancer makes itself known, and tells others which balancers there are.
+//! Introduces a balancer to others and distributes the addresses of the balancers.
 //!
-//! The load pattern: a whole fleet starts, and every process speaks to every other for the first time. Each needs one
-//! list of addresses, whoever sends it; a list for each pair would fill the links while clients come back.
+//! Matters when a whole fleet starts and all processes exchange their first messages. Each process
+//! needs one list of addresses, from any sender; a list for each pair would saturate the links
+//! while clients reconnect.
 
 use std::net::Ipv4Addr;
 
@@ -14,50 +15,54 @@
 use crate::l4::roster::{TELL_MS, TELL_NEAR_MS, Told};
 use crate::placement::mix;
 
-/// A balancer that has run for longer has found the others, or hears of them by their own signs, in milliseconds.
+/// Run time after which a balancer has found the others, or will receive their regular messages, in
+/// milliseconds.
 const YOUNG_MS: u64 = 2_000;
 
-/// Pause until a young balancer speaks again to others that have not answered, in milliseconds: processes of one start
-/// are up within a few of these.
+/// Interval at which a recently started balancer sends to peers that have not answered, in
+/// milliseconds. Processes that start together are ready within a few such intervals.
 const INTRODUCE_MS: u64 = 100;
 
-/// Addresses in one datagram: at four bytes each they fit beside the orders of evacuation, however large the fleet.
+/// Addresses per datagram. At four bytes each, they fit next to the evacuation orders, independent
+/// of the fleet's size.
 pub const ADDRESSES: usize = 256;
 
-/// Lists of addresses that one word of a process is answered with, from all who hear it together: one is enough, and
-/// some may be lost.
+/// Number of address lists that all receivers together send in reply to one message. One is enough,
+/// and some may be lost.
 const LISTS: usize = 4;
 
-/// Balancers among which turns are taken to answer a later sign: more than hear it, because the next one comes soon.
+/// Number of balancers that share the replies to a message that is not the first of its sender.
+/// Larger than the number of receivers, because the next message follows soon.
 const LATER_HEARERS: usize = 4 * PEERS_PER_TICK;
 
-/// Time after which others are to answer a process with a list, in milliseconds: as long as between two of an agent's
-/// announcements, so that each of them is answered.
+/// Time for which the same balancers reply to a process with a list, in milliseconds. Equal to the
+/// interval of an agent's announcements, so that each of them is answered.
 const TURN_MS: u64 = ANNOUNCE_MS;
 
-/// Digest noted for an agent that was told of no addresses.
+/// Digest recorded for an agent that was sent no addresses.
 const NO_LIST: u64 = 0;
 
-/// What a balancer remembers of its introductions.
+/// Introduction state of a balancer.
 #[derive(Debug)]
 pub(super) struct Introductions {
-    /// When the balancer started, and when it last spoke to others that have not answered.
+    /// When the balancer started, and when it last sent to peers that have not answered.
     opened: Time,
     spoke: Time,
 }
 
 impl Introductions {
-    /// Those of a balancer that starts.
+    /// Creates the state of a balancer that starts.
     pub(super) const fn open(now: Time) -> Self {
         Self { opened: now, spoke: now }
     }
 }
 
 impl Balancer {
-    /// Speaks again to balancers that have not answered, while this one is young.
+    /// Sends again to peers that have not answered, while this balancer is recently started.
     ///
-    /// Guards against processes that start together and miss each other's first word: the next round of signs may be
-    /// seconds away, and until then the packets of clients are carried without them.
+    /// Guards against processes that start together and miss each other's first message: the next
+    /// round of gossip may be seconds away, and until then packets of clients are handled without
+    /// them.
     pub(super) fn introduce_again(&mut self, now: Time) -> Vec<Action> {
         if now.since(self.introductions.opened) > YOUNG_MS
             || now.since(self.introductions.spoke) < INTRODUCE_MS
@@ -76,12 +81,14 @@
         told.map(|peer| Action::Send(peer, sign.clone())).collect()
     }
 
-    /// The addresses for a balancer that spoke, if it lacks some of them; empty if it does not.
+    /// Returns the addresses for a balancer that sent its state, if it lacks some of them;
+    /// otherwise nothing.
     ///
-    /// Guards against lists between all pairs: when all balancers start at once each hears of each other for the
-    /// first time, and where both go on to differ, because one of them has not yet dropped a balancer that died,
-    /// a list with every sign would cost ten times what the signs do. So the one that knows more tells, rarely
-    /// for one view, and only a few others at a time.
+    /// Guards against lists between all pairs. When all balancers start at once, each receives the
+    /// first message of each other one. Two views may also keep differing, because one side has not
+    /// yet removed a dead balancer; a list with every message would then cost ten times as much as
+    /// the messages without lists. So only the balancer that knows more sends a list, rarely for
+    /// the same view, and only to a few others at a time.
     pub(super) fn list_for(
         &mut self,
         now: Time,
@@ -99,7 +106,7 @@
         if !lacks_some || was_told || !roster.balancers.is_empty() {
             return Vec::new();
         }
-        // Who speaks for the first time speaks to all. Later signs go to a few in turn, again and again.
+        // A first message goes to all balancers. Later ones go to a few at a time, repeatedly.
         let hearers = if is_new { count } else { count.min(LATER_HEARERS) };
         if !self.is_turn(now, peer, hearers) {
             return Vec::new();
@@ -108,10 +115,11 @@
         self.own_list(now)
     }
 
-    /// Tells an agent who the balancers are, or that this one lives, if it is time.
+    /// Sends an agent the balancers, or this balancer's own state only, if a message is due.
     ///
-    /// Guards against a loss of power after which every balancer hands all addresses to every agent: one list
-    /// is enough for an agent, whoever sends it, and those that get a sign instead speak again in 0.3 s.
+    /// Guards against a power loss after which every balancer sends all addresses to every agent.
+    /// One list is enough for an agent, from any sender, and an agent that got none announces
+    /// itself again in 0.3 s.
     pub(super) fn tell_agent(&mut self, now: Time, agent: Ipv4Addr, is_near: bool) -> Vec<Action> {
         let pause_ms = if is_near { TELL_NEAR_MS } else { TELL_MS };
         let orders = self.ledger.revision();
@@ -137,23 +145,26 @@
         messages.into_iter().map(|message| Action::Send(agent, message)).collect()
     }
 
-    /// Whether it is this balancer's turn to answer a process's word with a list, where so many hear that word.
+    /// Returns whether this balancer is due to reply with a list to a message that `hearers`
+    /// balancers receive.
     ///
-    /// Guards against a process that never gets a list: whose turn it is changes for each process by itself, so that
-    /// none is left out because others always speak before it.
+    /// Guards against a process that never gets a list: the replying balancers change for each
+    /// process independently, so that none is left out because others always send first.
     fn is_turn(&self, now: Time, to: Ipv4Addr, hearers: usize) -> bool {
         let pair = u64::from(self.identity.address.to_bits()) << 32 | u64::from(to.to_bits());
         let one_in = u64::try_from(hearers / LISTS).unwrap_or(u64::MAX).max(1);
         mix(pair ^ mix(now.millis() / TURN_MS)).is_multiple_of(one_in)
     }
 
-    /// Balancers that hear an agent's word: those of its failure domain, or all if it is not of this one.
+    /// Returns the number of balancers that receive an agent's announcement: those of this failure
+    /// domain if the agent is in it, otherwise all.
     fn hearers(&mut self, now: Time, is_near: bool) -> usize {
         let near = if is_near { self.domain_peers(now).len() + 1 } else { usize::MAX };
         near.min(self.outlook(now).balancers.len())
     }
 
-    /// This balancer's word with the addresses of all that it knows, in datagrams of bounded length.
+    /// Returns this balancer's state with all addresses that it knows, in datagrams of bounded
+    /// length.
     fn own_list(&mut self, now: Time) -> Vec<Message> {
         let word = self.word(now);
         let balancers = self.outlook(now).balancers.clone();
--- a/crates/nutmegkeel_core/src/l4/balancer/kept.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/kept.rs
@@ -1,4 +1,4 @@
-//! Packets that cannot be decided on yet: kept, handed to another balancer, called for again.
+//! Packets that cannot be handled yet: keeps them, relays them to another balancer or recalls them.
 
 use std::net::Ipv4Addr;
 
@@ -10,7 +10,7 @@
 use crate::l4::policy::Mechanism;
 use crate::placement::mix;
 
-/// What decides on packets that are kept.
+/// Values whose change causes kept packets to be handled again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct View {
     growing: bool,
@@ -18,7 +18,7 @@
 }
 
 impl Balancer {
-    /// Calls for the packets that are kept once agents have stopped appearing, or all are known.
+    /// Recalls the kept packets once agents have stopped appearing, or all are known.
     pub(super) fn recall_if_changed(&mut self, now: Time, settled: bool) -> Vec<Action> {
         let view = View { growing: self.is_growing(now), settled };
         let changed = view != self.view;
@@ -27,7 +27,7 @@
         if changed { self.recall(now) } else { Vec::new() }
     }
 
-    /// Calls for the packets that are kept, if there are any and something could be done with them.
+    /// Recalls the kept packets, if there are any and they may be handled now.
     pub(super) fn recall(&mut self, now: Time) -> Vec<Action> {
         let has_routes = self.table.version > 0 || self.able(now).next().is_some();
         if !has_routes && !self.identity.policy.uses(Mechanism::Unrouted) {
@@ -36,7 +36,7 @@
         if std::mem::take(&mut self.keeps) { vec![Action::Recall] } else { Vec::new() }
     }
 
-    /// Keeps the packet at hand until something changes. Only its first time is noted.
+    /// Keeps the current packet until something changes. Logged only the first time.
     pub(super) fn keep(&mut self, head: &Head, cause: Cause) -> Vec<Action> {
         if !self.identity.policy.uses(Mechanism::KeptPackets) {
             return Vec::new();
@@ -49,14 +49,14 @@
         actions
     }
 
-    /// Other balancers that have a configuration.
+    /// Returns the other balancers that have a configuration.
     fn able(&self, now: Time) -> impl Iterator<Item = Ipv4Addr> + '_ {
         self.words.fresh(now).filter(|(_, word)| word.version > 0).map(|(peer, _)| peer)
     }
 
-    /// Hands a packet to a balancer that has a configuration, if one is known.
+    /// Forwards a packet to a balancer that has a configuration, if one is known.
     ///
-    /// Guards against servers that idle after a mass restart: a large configuration takes 300 ms over a
+    /// Guards against idle servers after a mass restart: a large configuration takes 300 ms over a
     /// link of 10 Mbit/s, and hosts with such links get most packets.
     pub(super) fn relay(&mut self, now: Time, head: &Head) -> Vec<Action> {
         let key = head.flow.key().number();
--- a/crates/nutmegkeel_core/src/l4/balancer/opening.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/opening.rs
@@ -15,13 +15,13 @@
 use crate::l4::route::{Kind, Route, Service, Urgency};
 use crate::revision::Revision;
 
-/// An opening that has found no agent within this is refused, in milliseconds: its client gives it up
-/// after 1.4 s.
+/// Time after which an opening that has found no agent is refused, in milliseconds. Its client
+/// gives up after 1.4 s.
 pub(super) const LONGEST_MS: u64 = 1_100;
 
 impl Balancer {
-    /// The copies of an opening go where the first went, or two backend servers would accept it;
-    /// unless that agent fell silent, or the route has moved since.
+    /// Handles an opening. Copies go to the agent of the first one, or two backend servers would
+    /// accept the flow; unless that agent has become silent, or the route has changed.
     pub(super) fn opening(&mut self, now: Time, head: &Head, route: &Route) -> Vec<Action> {
         let Some(service) = route.service(&head.flow) else {
             return self.reset(head, Cause::NoAgent, 0);
@@ -33,8 +33,8 @@
         {
             let (waited_ms, returns) = (now.since(entry.began), entry.returns == Some(true));
             let offer = self.offer(service, route, Insistence::IfInTime, waited_ms);
-            // A copy follows the first, whatever the orders are now: it must not tell the agent that its
-            // failure domain is open.
+            // A copy follows the first opening whatever the current orders are, so it must not
+            // indicate to the agent that its failure domain is open.
             let offer = Offer { orders: Revision::ZERO, returns, ..offer };
             return vec![Action::Forward(agent, Message::Open(offer))];
         }
@@ -46,10 +46,10 @@
 
     /// Places a new flow at once, also while agents are still appearing.
     ///
-    /// The load pattern: after a loss of power clients come back within half a second, and so do hosts.
-    /// Openings that are held until all hosts are back go to agents in the same moment, and every
-    /// client among them is answered late. Placed at once, each waits at an agent, where those go
-    /// first that can be in time.
+    /// Matters after a power loss, when clients and hosts come back within the same half second.
+    /// Openings held until all hosts are back would reach the agents together, and all of their
+    /// clients would be answered late. Placed at once, each waits at an agent, which serves those
+    /// first that can still be in time.
     fn place(&mut self, now: Time, head: &Head, service: Service, route: &Route) -> Vec<Action> {
         let returns = self.returns(now, head);
         let domain = Arc::clone(&self.identity.domain);
@@ -85,8 +85,8 @@
         vec![Action::Forward(choice.agent, Message::Open(offer)), Action::Note(note)]
     }
 
-    /// No agent takes the opening. The client learns it at once, unless this balancer may simply not
-    /// have heard of an agent yet.
+    /// Handles an opening that no agent accepts. The client is refused at once, unless this
+    /// balancer may not know all agents yet.
     fn refuse(
         &mut self,
         now: Time,
--- a/crates/nutmegkeel_core/src/l4/balancer/outlook.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/outlook.rs
@@ -1,8 +1,8 @@
-//! What a balancer says of all that it knows, reckoned once for many messages.
+//! Known balancers and agents, computed once for many messages.
 //!
-//! The load pattern: after a loss of power every agent and every balancer speaks for the first time within a few
-//! hundred milliseconds. Each is answered, and to count all agents and hash all addresses for each answer would
-//! take time that grows with the square of the fleet.
+//! Matters after a power loss, when every agent and every balancer sends its first message within a
+//! few hundred milliseconds. Each is answered; counting all agents and hashing all addresses for
+//! each answer would take time that grows with the square of the fleet's size.
 
 use std::net::Ipv4Addr;
 
@@ -10,15 +10,15 @@
 use crate::clock::Time;
 use crate::l4::roster;
 
-/// How old an outlook may be, in milliseconds: a tenth of the pause between two signs, so that it adds little to how
-/// old a sign is when the next one comes.
+/// Maximum age in milliseconds: a tenth of the interval of gossip, so that it adds little to the
+/// age of a message when the next one arrives.
 const FRESH_MS: u64 = 50;
 
-/// The balancers and agents that were heard of at one moment.
+/// The balancers and agents known at one time.
 #[derive(Debug)]
 pub(super) struct Outlook {
     at: Time,
-    /// The balancers, this one among them, in ascending order.
+    /// The balancers, including this one, in ascending order.
     pub(super) balancers: Vec<Ipv4Addr>,
     /// Digest of their addresses.
     pub(super) digest: u64,
@@ -27,14 +27,14 @@
 }
 
 impl Outlook {
-    /// Number of the balancers.
+    /// Returns the number of balancers.
     pub(super) fn count(&self) -> u32 {
         u32::try_from(self.balancers.len()).unwrap_or(u32::MAX)
     }
 }
 
 impl Balancer {
-    /// What this balancer hears of now.
+    /// Returns the balancers and agents that are known now.
     pub(super) fn outlook(&mut self, now: Time) -> &Outlook {
         let known = self.outlook.take().filter(|known| now.since(known.at) < FRESH_MS);
         let outlook = known.unwrap_or_else(|| self.look(now));
--- a/crates/nutmegkeel_core/src/l4/balancer/peers.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/peers.rs
@@ -1,4 +1,5 @@
-//! The other balancers: who they are, what they last said, and what this one tells them.
+//! The other balancers: their addresses, their last reported states, and what this balancer sends
+//! them.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -11,18 +12,22 @@
 use crate::l4::placement::Change;
 use crate::l4::word::COUNTED_MS;
 
-/// Peers of the own failure domain told in one tick, and as many of the others: a sign costs bytes for each
-/// pair, and a balancer still hears all of its own domain within a few ticks.
+/// Number of peers of the own failure domain that are sent a message per tick, and of all other
+/// peers. Each pair of balancers costs bytes; with this limit, a balancer still receives the states
+/// of its own domain within a few ticks.
 pub(super) const PEERS_PER_TICK: usize = 8;
 
-/// Balancers that spoke within this time at least are passed on, in milliseconds.
+/// Minimum time for which a balancer's address is forwarded after its last message, in
+/// milliseconds.
 const SPOKEN_OF_MS: u64 = 5_000;
 
 impl Balancer {
-    /// Tells the next few of the other balancers what this one knows; a delegate tells its whole failure domain.
+    /// Sends this balancer's state to the next few of the others. A delegate sends it to its whole
+    /// failure domain.
     ///
-    /// Guards against a failure domain for which nobody reads the store: in turns of a few, a large domain would
-    /// take many seconds to notice that both its delegates are dead.
+    /// Guards against a failure domain for which no balancer reads the store: with a few receivers
+    /// per tick, it would take many seconds in a large domain to detect that both delegates are
+    /// dead.
     pub(super) fn gossip(&mut self, now: Time) -> Vec<Action> {
         let (near, far) = self.peers_by_domain();
         let sign = self.sign(now);
@@ -36,7 +41,7 @@
         actions
     }
 
-    /// The peers of the own failure domain, and the others.
+    /// Returns the peers of the own failure domain, and the others.
     fn peers_by_domain(&self) -> (Vec<Ipv4Addr>, Vec<Ipv4Addr>) {
         let is_near = |peer: &Ipv4Addr| {
             self.words.get(*peer).is_some_and(|word| *word.domain == *self.identity.domain)
@@ -44,15 +49,15 @@
         self.peers.iter().partition(is_near)
     }
 
-    /// Tells the whole failure domain of something new at once: a configuration, or that the store answers
-    /// this balancer no more. Far domains have delegates of their own.
+    /// Notifies the whole failure domain at once of a new configuration, or that the store no
+    /// longer answers this balancer. Other failure domains have their own delegates.
     pub(super) fn tell_domain(&mut self, now: Time) -> Vec<Action> {
         let sign = self.sign(now);
         let (near, _) = self.peers_by_domain();
         near.into_iter().map(|peer| Action::Send(peer, sign.clone())).collect()
     }
 
-    /// Notes which balancers and agents changed since the last tick.
+    /// Logs which balancers and agents changed since the last tick.
     pub(super) fn note_turnover(&mut self) -> Vec<Action> {
         let (peers, agents) = (self.peers.len(), self.pool.len());
         let balancers = self.balancers_changed.take();
@@ -62,13 +67,13 @@
         balancers.into_iter().chain(changed).map(Action::Note).collect()
     }
 
-    /// Whether this balancer watches the store for its failure domain.
+    /// Returns whether this balancer watches the store for its failure domain.
     #[must_use]
     pub fn watches(&self, now: Time) -> bool {
         self.delegate_rank(now).is_some()
     }
 
-    /// Its place among the delegates of its failure domain, if it is one.
+    /// Returns its rank among the delegates of its failure domain, if it is one.
     #[must_use]
     pub fn delegate_rank(&self, now: Time) -> Option<usize> {
         if self.leaving {
@@ -79,7 +84,7 @@
         delegates.iter().position(|delegate| *delegate == self.identity.address)
     }
 
-    /// Takes in whether the store answered.
+    /// Records whether the store answered.
     pub(super) fn store_answered(&mut self, now: Time, answered: bool) -> Vec<Action> {
         if self.reaches_store == answered {
             return Vec::new();
@@ -107,7 +112,8 @@
         if news && roster.version > 0 && self.table.version == 0 {
             actions.extend(self.recall(now));
         }
-        // Only a balancer's own word keeps it: others would repeat a dead one to each other.
+        // Only a balancer's own message refreshes it. Otherwise, others would keep a dead balancer
+        // alive by reporting it to each other.
         let is_new = self.peers.heard(now, from);
         if is_new {
             self.outlook = None;
@@ -152,7 +158,7 @@
         self.peers.iter().map(|peer| Action::Send(peer, sign.clone())).collect()
     }
 
-    /// Balancers that this one has heard of lately, itself among them.
+    /// Returns the balancers that were seen recently, including this one.
     pub(super) fn known(&self, now: Time) -> Vec<Ipv4Addr> {
         let mut balancers = self.peers.heard_within(now, self.words.counted_ms().max(SPOKEN_OF_MS));
         if !self.leaving {
@@ -162,7 +168,7 @@
         balancers
     }
 
-    /// This balancer's word without addresses, for those who are likely to know them.
+    /// Returns this balancer's state without addresses, for receivers that probably know them.
     pub(super) fn sign(&mut self, now: Time) -> Message {
         Message::Roster(self.word(now))
     }
@@ -185,7 +191,7 @@
     }
 }
 
-/// The next few of the peers, after so many have been told.
+/// Returns the next `few` peers in turn, starting at `turn`.
 pub(super) fn next_few(
     peers: &[Ipv4Addr],
     turn: usize,
--- a/crates/nutmegkeel_core/src/l4/balancer/queries.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/queries.rs
@@ -1,4 +1,4 @@
-//! What a balancer tells of itself.
+//! Read access to a balancer's state.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -10,67 +10,69 @@
 use crate::l4::status::Status;
 
 impl Balancer {
-    /// Whether the fabric should send packets here.
+    /// Returns whether the fabric should send packets here.
     #[must_use]
     pub fn is_ready(&self, now: Time) -> bool {
         !self.leaving && self.table.version > 0 && !self.pool.is_cut_off(now)
     }
 
-    /// Version of the configuration in force; zero while there is none.
+    /// Returns the version of the configuration in force; zero while there is none.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.table.version
     }
 
-    /// Balancers known besides this one.
+    /// Returns the known balancers except this one.
     #[must_use]
     pub fn peers(&self) -> Vec<Ipv4Addr> {
         self.peers.iter().collect()
     }
 
-    /// The other balancers of the own failure domain that were heard of lately and stay.
+    /// Returns the other balancers of the own failure domain that have a valid state and are not
+    /// about to stop.
     #[must_use]
     pub fn domain_peers(&self, now: Time) -> Vec<Ipv4Addr> {
         let near = self.words.of_domain(now, &self.identity.domain);
         near.filter(|(_, word)| !word.leaving).map(|(peer, _)| peer).collect()
     }
 
-    /// Whether other balancers speak to this one.
+    /// Returns whether messages of other balancers arrive here.
     #[must_use]
     pub fn hears_others(&self, now: Time) -> bool {
         self.words.recent(now).next().is_some()
     }
 
-    /// Number of agents known.
+    /// Returns the number of known agents.
     #[must_use]
     pub fn agents(&self) -> usize {
         self.pool.len()
     }
 
-    /// The newest orders of evacuation; none while it has heard of none.
+    /// Returns the newest evacuation orders; none while none were received.
     #[must_use]
     pub const fn orders(&self) -> Option<&Orders> {
         self.ledger.orders()
     }
 
-    /// Number of failure domains that are evacuated.
+    /// Returns the number of evacuated failure domains.
     #[must_use]
     pub fn evacuated(&self) -> usize {
         self.ledger.orders().map_or(0, |orders| orders.domains.len())
     }
 
-    /// How full the failure domains are, by service; nothing if that is not reckoned.
+    /// Returns the utilization of the failure domains by service; nothing if it is not computed.
     pub fn levels(&self) -> impl Iterator<Item = &Level> {
         self.pool.levels()
     }
 
-    /// Openings that lately went to other failure domains, in thousandths of all.
+    /// Returns the part of recent openings that were placed in other failure domains, in
+    /// thousandths.
     #[must_use]
     pub fn sent_abroad(&self) -> Option<u64> {
         self.pool.sent_abroad()
     }
 
-    /// What operators are told.
+    /// Returns the status for operators.
     #[must_use]
     pub fn status(&self, now: Time) -> Status {
         Status {
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Number of flows in the cache.
+    /// Returns the number of flows in the cache.
     #[must_use]
     pub fn cached(&self) -> usize {
         self.cache.len()
--- a/crates/nutmegkeel_core/src/l4/balancer/review.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/review.rs
@@ -1,13 +1,13 @@
-//! What a balancer looks at each few milliseconds, whatever happens.
+//! Periodic checks of a balancer, independent of the events that it handles.
 
 use super::{Action, Balancer};
 use crate::clock::Time;
 use crate::l4::note::{Cause, Note};
 
 impl Balancer {
-    /// Tells clients what became certain since: their flow's agent is dead, or nobody holds the flow.
-    /// Guards against a client that waits for its own timeout, or for the next of its copies that
-    /// come ever more rarely, while the answer is known.
+    /// Resets flows whose agent is now known to be dead, or that no agent holds. Guards against a
+    /// client that waits for its own timeout, or for its next retransmission, which become less
+    /// frequent, although the answer is known.
     pub(super) fn review(&mut self, now: Time) -> Vec<Action> {
         let (is_cut_off, is_settled) = (self.pool.is_cut_off(now), self.is_settled(now));
         self.note_certainty(is_cut_off, is_settled);
@@ -39,7 +39,7 @@
         actions
     }
 
-    /// Notes which failure domains begin or cease to be spared.
+    /// Logs which failure domains begin or cease to be spared.
     fn rebalance(&mut self, now: Time) -> Vec<Action> {
         let levels = self.pool.rebalance(now);
         let abroad = self.pool.sent_abroad();
--- a/crates/nutmegkeel_core/src/l4/balancer/search.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/search.rs
@@ -11,7 +11,7 @@
 use crate::l4::note::{Cause, Note};
 
 impl Balancer {
-    /// Goes on with a search for which no packet is at hand.
+    /// Continues a search while no packet of the flow is available.
     pub(super) fn decide(&mut self, now: Time, flow: Flow) -> Vec<Action> {
         if self.has_no_route(&flow) {
             self.cache.remove(&flow);
@@ -42,7 +42,7 @@
         self.reset_flow(flow, seq, Cause::NotHeld, asked)
     }
 
-    /// Asks those who are left, without a packet; empty if nobody is.
+    /// Asks the remaining agents without a packet. Returns nothing if there are none.
     fn ask_further(&mut self, now: Time, flow: Flow) -> Vec<Action> {
         let many = self.ask_many(now, flow);
         if !many.is_empty() {
@@ -55,9 +55,9 @@
         next.into_iter().map(|agent| Action::Send(agent, Message::Locate { flow })).collect()
     }
 
-    /// Whether every agent that may hold the flow has said that it does not. Never while there is no
-    /// configuration: nothing could be offered to the client in place of its flow, and this process is
-    /// too young to know whom it has not heard of.
+    /// Returns whether every agent that may hold the flow has reported that it does not. Always
+    /// false without a configuration: nothing could be offered to the client in place of its flow,
+    /// and this process started too recently to know all agents.
     fn is_nowhere(&mut self, now: Time, flow: Flow) -> bool {
         let entry = self.cache.entry(now, flow);
         let is_open = |agent: &Ipv4Addr| self.pool.may_hold(now, *agent);
@@ -65,8 +65,8 @@
         all_answered && self.table.version > 0 && self.is_settled(now)
     }
 
-    /// An agent that was passed over and may answer now. Guards against a client that waits for the
-    /// next whole search because one agent of all was not sure when it was asked.
+    /// Returns an agent that was skipped and may answer now. Guards against a client that waits for
+    /// the next whole search because a single agent could not decide when it was asked.
     fn next_to_repeat(&mut self, now: Time, flow: Flow) -> Option<Ipv4Addr> {
         let entry = self.cache.entry(now, flow);
         if !entry.may_ask_again(now) {
@@ -124,9 +124,9 @@
         }
     }
 
-    /// Hands a packet to the agent that holds its flow, or that its opening was sent to. The latter must
-    /// say that it holds the flow: a copy of the opening may have opened it elsewhere, by way of
-    /// another balancer.
+    /// Forwards a packet to the agent that holds its flow, or that its opening was sent to. The
+    /// latter must confirm that it holds the flow, because a copy of the opening may have opened it
+    /// at another agent by way of another balancer.
     fn carry_known(
         &mut self,
         now: Time,
@@ -173,7 +173,8 @@
         self.keep(head, Cause::Undecided)
     }
 
-    /// Whether the few agents that the flow's opening was offered to have been asked.
+    /// Returns whether the few agents that the flow's opening was probably offered to have been
+    /// asked.
     fn has_asked_first(&mut self, now: Time, flow: Flow) -> bool {
         let Some(services) = self.services(&flow) else {
             return false;
@@ -182,9 +183,9 @@
         self.first_unasked(now, flow, first).is_none()
     }
 
-    /// The next agent to ask for a flow: usually one of the few that its opening was offered to. One whose
-    /// process is being replaced is asked last: the others can be ruled out meanwhile, and what is left must
-    /// be there.
+    /// Returns the next agent to ask for a flow, usually one of the few that its opening was
+    /// offered to. One whose process is being replaced is asked last: if all others are ruled out
+    /// first, it must be the one that holds the flow.
     fn next_to_ask(&mut self, now: Time, flow: Flow) -> Option<Ipv4Addr> {
         let services = self.services(&flow)?;
         let first = self.pool.search_first(flow.key(), &services, &self.identity.domain);
@@ -199,7 +200,7 @@
         Some(agent)
     }
 
-    /// The first of these agents that may hold a flow and has not said that it does not.
+    /// Returns the first of these agents that may hold a flow and has not denied it.
     fn first_unasked(
         &mut self,
         now: Time,
@@ -207,8 +208,8 @@
         agents: Vec<Ipv4Addr>,
     ) -> Option<(Health, Ipv4Addr)> {
         let entry = self.cache.entry(now, flow);
-        // Who refused the opening may have taken a later copy of it, so only an answer to this
-        // question counts.
+        // An agent that refused the opening may have accepted a later copy of it, so only an answer
+        // to this query counts.
         let asked = |agent: &Ipv4Addr| entry.declined.contains(&(*agent, Reason::NotHeld));
         agents
             .into_iter()
@@ -217,7 +218,7 @@
             .min_by_key(|(health, _)| *health == Health::Restarting)
     }
 
-    /// Goes on without an agent that has not answered: it may be dead, and the flow elsewhere.
+    /// Skips an agent that has not answered: it may be dead, and another may hold the flow.
     fn pass_over(&mut self, now: Time, flow: Flow) {
         let entry = self.cache.entry(now, flow);
         if let Some(place) = entry.place.take() {
@@ -262,7 +263,7 @@
     Action::Forward(agent, Message::Carry { known })
 }
 
-/// Notes that an agent was passed over: it may hold the flow.
+/// Records that an agent was skipped: it may hold the flow.
 pub(super) fn note_unanswered(entry: &mut Entry, agent: Ipv4Addr) {
     note_declined(entry, agent, Reason::NotHeld);
     if !entry.unanswered.contains(&agent) {
--- a/crates/nutmegkeel_core/src/l4/balancer/selection.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/selection.rs
@@ -9,29 +9,30 @@
 use crate::l4::placement::{Choice, Need};
 use crate::l4::policy::Mechanism;
 
-/// Agents asked for a free slot before one is asked to let the flow wait: each costs a round trip.
+/// Number of agents asked for a free slot before one is asked to let the flow wait. Each costs a
+/// round trip.
 const IDLE_TRIES: usize = 2;
 
-/// The same while another agent is believed to have a free slot: reports are older than a request takes, so
-/// several in a row may be wrong.
+/// The same while another agent is believed to have a free slot. Reports are older than a request
+/// takes, so several in a row may be wrong.
 const FREE_TRIES: usize = 4;
 
-/// Agents asked for one opening at most, unless another is believed to have a free slot.
+/// Maximum number of agents asked for one opening, unless another is believed to have a free slot.
 const OPEN_TRIES: usize = 8;
 
-/// Where callers compete for room, agents that may say that an answer would come too late before the opening
-/// is refused. Guards against entry hosts that lose packets of others: under an overload each opening
-/// would ask eight agents for the same answer.
+/// Where requests compete for room, number of agents that may report that an answer would come too
+/// late before the opening is refused. Guards against entry hosts that lose other packets: under
+/// overload each opening would ask eight agents and get the same answer.
 const LATE_TRIES: usize = 2;
 
-/// How far an opening has come.
+/// Progress of an opening.
 #[derive(Debug)]
 pub(super) struct Attempt {
     /// Agents that declined it, and why.
     pub(super) declined: Vec<(Ipv4Addr, Reason)>,
     /// How long its client has waited, in milliseconds.
     pub(super) waited_ms: u64,
-    /// Whether it is in vain to ask for a free slot.
+    /// Whether asking for a free slot is known to fail.
     pub(super) in_vain: bool,
 }
 
@@ -39,15 +40,16 @@
 #[derive(Debug)]
 pub(super) struct Selection {
     pub(super) choice: Choice,
-    /// Agents that were left out.
+    /// Agents that were excluded.
     pub(super) tried: Vec<Ipv4Addr>,
-    /// Whether it is asked for a free slot only.
+    /// Whether the agent is asked for a free slot only.
     pub(super) for_idle: bool,
 }
 
 impl Balancer {
-    /// The agent for an opening, and whether it is asked for a free slot. Where openings go by room, that is
-    /// asked for longer while a slot is believed free, and not at all in vain.
+    /// Selects the agent for an opening, and whether it is asked for a free slot only. If openings
+    /// are placed by room, a free slot is asked for more often while one is believed to exist, and
+    /// not at all where none is.
     pub(super) fn select(&self, now: Time, need: Need, attempt: &Attempt) -> Option<Selection> {
         let policy = &self.identity.policy;
         let (tries, by_room) = (attempt.declined.len(), policy.uses(Mechanism::Room));
@@ -87,17 +89,18 @@
 }
 
 impl Attempt {
-    /// Whether neither its tries nor its time are used up.
+    /// Returns whether the opening has tries and time left.
     pub(super) const fn is_within_limits(&self) -> bool {
         self.declined.len() < OPEN_TRIES && self.waited_ms <= LONGEST_MS
     }
 
-    /// Agents that said that an answer would come too late.
+    /// Returns the number of agents that reported that an answer would come too late.
     fn late(&self) -> usize {
         self.declined.iter().filter(|(_, reason)| *reason == Reason::Late).count()
     }
 
-    /// Agents that are not asked again: one that was only busy may be asked to let the flow wait.
+    /// Returns the agents that are not asked again. One that was only busy may be asked to let the
+    /// flow wait.
     fn excluded(&self, for_idle: bool) -> Vec<Ipv4Addr> {
         let left_out = |reason: Reason| for_idle || reason != Reason::Busy;
         let declined = self.declined.iter().filter(|(_, reason)| left_out(*reason));
--- a/crates/nutmegkeel_core/src/l4/balancer/shortage.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/shortage.rs
@@ -1,4 +1,5 @@
-//! Openings of a service that is short of room: where there is some left, and which are refused at once.
+//! Handles openings of a service that is short of room: finds remaining room and refuses openings
+//! that cannot be served.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,7 +14,7 @@
 use crate::l4::route::{Route, Service, Table, Urgency};
 use crate::l4::status;
 
-/// What a balancer knows of want of room besides the agents' reports.
+/// Known shortage of room, beyond what the agents report.
 #[derive(Debug, Default)]
 pub(super) struct Memory {
     crowds: Crowds,
@@ -23,7 +24,7 @@
 }
 
 impl Memory {
-    /// Takes in the routes in force.
+    /// Applies the routes in force.
     pub(super) fn configured(&mut self, table: &Table) {
         self.degrees.clear();
         for route in table.routes.values() {
@@ -38,8 +39,8 @@
         self.returns.expire(now);
     }
 
-    /// How much of what waits is taken to go before a request. Which requests wait where is not known, so
-    /// each degree is taken to have the same part.
+    /// Estimates which part of the waiting requests is served before a request. It is unknown which
+    /// requests wait where, so each degree of urgency is assumed to have the same part.
     fn rank(&self, service: Service, urgency: Urgency) -> Rank {
         let count = |count: usize| u64::try_from(count).unwrap_or(u64::MAX);
         self.degrees.get(&service).map_or(Rank::FIRST, |degrees| Rank {
@@ -50,8 +51,8 @@
 }
 
 impl Balancer {
-    /// The agent for an opening where openings go by room. One that is past the usual limits of tries and
-    /// time goes on as long as a slot is believed free, and its client waits.
+    /// Chooses the agent for an opening by room. An opening that has exceeded the usual limits of
+    /// tries and time goes on as long as a slot is believed to be free and its client still waits.
     pub(super) fn choose_by_room(
         &self,
         now: Time,
@@ -64,15 +65,16 @@
         (may_try || goes_on).then_some(choice)
     }
 
-    /// Whether it is in vain to ask agents for a free slot for this flow.
+    /// Returns whether asking agents for a free slot is known to fail for this flow.
     ///
-    /// Guards against a crowd in which every opening is handed back twice before it may wait: three times
-    /// the messages, when hosts are busiest.
+    /// Guards against an overload in which every opening is returned twice before it may wait,
+    /// which takes three times as many messages when hosts are busiest.
     pub(super) fn asks_in_vain(&self, now: Time, flow: &Flow, service: Service) -> bool {
         self.memory.crowds.is_certain(now, (flow.service, service))
     }
 
-    /// Whether a first opening comes of a client that was refused; asked once for each flow.
+    /// Returns whether a first opening comes from a client that was refused before. Looked up once
+    /// per flow.
     pub(super) fn returns(&mut self, now: Time, head: &Head) -> bool {
         if !self.identity.policy.uses(Mechanism::Room) {
             return false;
@@ -80,17 +82,19 @@
         if let Some(returns) = self.cache.entry(now, head.flow).returns {
             return returns;
         }
-        // A copy may come of an opening that was refused: that is no return.
+        // A copy of a refused opening is not a retry by its client.
         let returns = head.ack == 0 && self.memory.returns.claim(now, &head.flow);
         self.cache.entry(now, head.flow).returns = Some(returns);
         returns
     }
 
-    /// Why an opening must be refused now, though an agent could be asked; none if it need not be.
+    /// Returns why an opening must be refused now, although an agent could be asked; none if it
+    /// need not be refused.
     ///
-    /// Guards against requests that wait until their deadline in vain and keep slots from others. Only what
-    /// the agents' own reports rule out is refused, and not before the crowd has lasted: a shorter one is
-    /// worked off. A client that was refused is not refused again here when it comes back.
+    /// Guards against requests that wait until their deadline without success and occupy slots that
+    /// others need. An opening is refused only if the agents' own reports rule it out, and only
+    /// once the overload has lasted for some time, because a shorter one clears by itself. A client
+    /// that was refused is not refused again here when it retries.
     pub(super) fn shortage(
         &mut self,
         now: Time,
@@ -120,7 +124,7 @@
         };
         let soonest = self.pool.soonest(now, need, rank);
         let left_ms = route.deadline_ms.saturating_sub(waited_ms);
-        // An agent that this balancer has not heard of yet may have room.
+        // An agent that is still unknown here may have room.
         let is_ruled_out = soonest.servers > 0 && soonest.least_ms > left_ms;
         let (servers, least_ms) = (soonest.servers, soonest.least_ms);
         (is_ruled_out && self.is_settled(now)).then_some(Shortage {
@@ -131,7 +135,7 @@
         })
     }
 
-    /// Refuses an opening for want of room, and remembers its caller.
+    /// Refuses an opening for lack of room, and records its caller.
     pub(super) fn refuse_for_room(
         &mut self,
         now: Time,
@@ -149,7 +153,7 @@
         reset.chain([Action::Note(note)]).collect()
     }
 
-    /// The room of each service by failure domain, where openings go by it.
+    /// Returns the room of each service by failure domain, if openings are placed by room.
     #[must_use]
     pub fn rooms(&self, now: Time) -> Vec<status::Room> {
         if !self.identity.policy.uses(Mechanism::Room) {
@@ -170,7 +174,8 @@
             .collect()
     }
 
-    /// The first route that names a service, by which operators know it.
+    /// Returns the name of the first route that uses a service. Operators know the service by this
+    /// name.
     fn route_of(&self, service: Service) -> Option<Arc<str>> {
         let names = |route: &&Route| route.shares.iter().any(|share| share.service == service);
         self.table.routes.values().find(names).map(|route| Arc::clone(&route.name))
--- a/crates/nutmegkeel_core/src/l4/balancer/speed.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/speed.rs
@@ -1,4 +1,4 @@
-//! Which backend servers a balancer takes for slow.
+//! Compares backend servers to find slow ones.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::l4::route::Service;
 
 impl Balancer {
-    /// Compares the backend servers of each service.
+    /// Compares the speeds of the backend servers of each service.
     pub(super) fn compare_speeds(&mut self, now: Time) -> Vec<Action> {
         if !self.identity.policy.uses(Mechanism::UnevenServers) {
             return Vec::new();
@@ -19,7 +19,7 @@
         verdicts.into_iter().map(|verdict| Action::Note(Note::Speed(verdict))).collect()
     }
 
-    /// How evenly the backend servers of each service are used.
+    /// Returns how evenly the backend servers of each service are used.
     #[must_use]
     pub fn evenness(&self, now: Time) -> BTreeMap<Service, Evenness> {
         self.pool.evenness(now)
--- a/crates/nutmegkeel_core/src/l4/balancer/summary.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/summary.rs
@@ -1,8 +1,10 @@
-//! What balancers of different failure domains tell each other of their agents.
+//! Summaries of agents that balancers of different failure domains exchange.
 //!
-//! The load pattern: an agent that announces itself to every balancer costs as many datagrams as there are
-//! pairs, most of them between failure domains. So agents speak to the balancers of their own domain, which take turns to tell one balancer of each other
-//! domain of all, and that one passes it on at home. Nobody is elected: a balancer that dies misses its turns.
+//! Matters for the number of datagrams: if every agent announced itself to every balancer, there
+//! would be one for each pair, most of them between failure domains. Instead, agents announce
+//! themselves to the balancers of their own domain. These take turns to send a summary to one
+//! balancer of each other domain, which forwards it within that domain. There is no elected sender:
+//! a balancer that dies only misses its turns.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -15,16 +17,16 @@
 use crate::l4::placement::Change;
 use crate::l4::policy::Mechanism;
 
-/// Agents told of in one datagram: at some 20 bytes each they fit beside the rest.
+/// Agents per datagram. At some 20 bytes each, they fit next to the rest.
 pub const REPORTS: usize = 48;
 
-/// Balancers of a failure domain that tell of its agents in one slot, each to another listener: one of them, or
-/// its listener, may have died.
+/// Number of balancers of a failure domain that send its summary in one slot, each to another
+/// receiver. One of them, or its receiver, may be dead.
 const SPEAKERS: usize = 2;
 
 impl Balancer {
-    /// Tells one balancer of each other failure domain of the agents of this one, if it is this balancer's
-    /// turn.
+    /// Sends a summary of the agents of this failure domain to one balancer of each other domain,
+    /// if it is this balancer's turn.
     pub(super) fn summarise(&mut self, now: Time) -> Vec<Action> {
         let slot = now.millis() / SUMMARY_MS;
         if slot == self.slot || !self.identity.policy.uses(Mechanism::Summaries) {
@@ -43,10 +45,12 @@
         targets.flat_map(|to| summaries.iter().map(|one| Action::Send(*to, one.clone()))).collect()
     }
 
-    /// Tells all balancers of the other failure domains of agents here that became late.
+    /// Reports agents of this failure domain that have become late to all balancers of the other
+    /// domains.
     ///
-    /// Guards against openings that go to a dead host elsewhere until the next summary: with their last copy,
-    /// 600 ms after the first, their clients would have lost the try.
+    /// Guards against openings that go to a dead host in another failure domain until the next
+    /// summary. The last copy of an opening follows the first after 600 ms; if that goes to the
+    /// dead host too, the client's try is lost.
     pub(super) fn tell_late(&mut self, now: Time) -> Vec<Action> {
         let late = self.pool.newly_late(now, &self.identity.domain);
         if late.reports.is_empty()
@@ -61,8 +65,8 @@
             .collect()
     }
 
-    /// The other balancers that were heard of lately and stay: those of this failure domain, and those of
-    /// each other one.
+    /// Returns the other balancers with a valid state that are not about to stop: those of this
+    /// failure domain, and those of each other domain.
     fn staying_peers(&self, now: Time) -> (Vec<Ipv4Addr>, BTreeMap<Arc<str>, Vec<Ipv4Addr>>) {
         let mut domains: BTreeMap<Arc<str>, Vec<Ipv4Addr>> = BTreeMap::new();
         for (peer, word) in self.words.staying(now) {
@@ -71,9 +75,9 @@
         (domains.remove(&self.identity.domain).unwrap_or_default(), domains)
     }
 
-    /// Takes in what was heard of the agents of another failure domain, and passes it on at home, but for what
-    /// somebody has just told: two speakers tell of all agents in each slot, and to pass both on would fill the
-    /// links of a large domain with repetitions.
+    /// Applies a summary of another failure domain and forwards it within the own one, except for
+    /// reports that were just received. Two balancers report all agents in each slot; forwarding
+    /// both reports would fill the links of a large domain with duplicates.
     pub(super) fn summary(&mut self, now: Time, summary: &Summary) -> Vec<Action> {
         if summary.domain == self.identity.domain {
             return Vec::new();
@@ -96,7 +100,7 @@
         near.map(|(peer, _)| Action::Send(peer, message.clone())).collect()
     }
 
-    /// Takes in what a word of an agent changed.
+    /// Records a change of an agent.
     pub(super) fn changed(&mut self, now: Time, agent: Ipv4Addr, change: Change) {
         if change == Change::Appeared {
             self.note_growth(now);
@@ -106,7 +110,7 @@
     }
 }
 
-/// A summary in datagrams of bounded length.
+/// Splits a summary into datagrams of bounded length.
 fn messages(summary: &Summary) -> Vec<Message> {
     let message = |reports: &[Report]| {
         let (domain, services) = (Arc::clone(&summary.domain), summary.services.clone());
--- a/crates/nutmegkeel_core/src/l4/balancer/wide_search.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/wide_search.rs
@@ -1,8 +1,9 @@
 //! Asks many agents for a flow at once, without its packet.
 //!
-//! The load pattern: after a mass restart clients send on flows that are gone. Nobody holds such a flow, so
-//! every agent has to be asked before its client can be told, and with the agents of other failure domains
-//! some milliseconds away one after the other takes longer than the client's objective.
+//! Matters after a mass restart, when clients still send on flows that are gone. No agent holds
+//! such a flow, so every agent must be asked before its client can be reset. Agents of other
+//! failure domains are some milliseconds away, and asking them one by one takes longer than the
+//! client's objective.
 
 use std::net::Ipv4Addr;
 
@@ -14,13 +15,13 @@
 use crate::l4::message::{Load, Message, Reason};
 use crate::l4::policy::Mechanism;
 
-/// Part of the objective that asking one agent after the other may take, in percent: the rest is for the
+/// Part of the objective that asking agents one by one may take, in percent. The rest is for the
 /// client's next try.
 const SEARCH_PERCENT: u64 = 25;
 
 impl Balancer {
-    /// Asks all agents that are left, if one after the other would take too long; empty if it would not, or
-    /// if none is left that may know without the packet.
+    /// Asks all remaining agents, if asking them one by one would take too long. Returns nothing if
+    /// it would not, or if no remaining agent can answer without the packet.
     pub(super) fn ask_many(&mut self, now: Time, flow: Flow) -> Vec<Action> {
         if !self.identity.policy.uses(Mechanism::WideSearch) {
             return Vec::new();
@@ -35,7 +36,8 @@
         left.into_iter().map(|agent| Action::Send(agent, Message::Locate { flow })).collect()
     }
 
-    /// Agents that may hold a flow, have not denied it and are not known to need the packet.
+    /// Returns the agents that may hold a flow, have not denied it and are not known to need the
+    /// packet.
     fn left_to_ask(&mut self, now: Time, flow: Flow) -> Vec<Ipv4Addr> {
         let Some(services) = self.services(&flow) else {
             return Vec::new();
@@ -49,8 +51,8 @@
         agents.into_iter().filter(is_left).collect()
     }
 
-    /// Whether asking so many agents one after the other would take too much of the flow's objective. Not
-    /// while it is unknown how long an answer takes, or what the flow asks for.
+    /// Returns whether asking this number of agents one by one would take too much of the flow's
+    /// objective. False while the answer time or the objective is unknown.
     fn takes_long(&self, flow: Flow, agents: usize) -> bool {
         let Some(route) = self.table.routes.get(&flow.service) else {
             return false;
@@ -60,15 +62,15 @@
         limit_us > 0 && agents.saturating_mul(self.answer_us) > limit_us
     }
 
-    /// Learns how long an agent takes to answer, from one that was asked alone.
+    /// Updates the time that an agent takes to answer, from one that was asked alone.
     pub(super) fn learn_answer_time(&mut self, after_ms: u64) {
-        /// An answer counts for an eighth of what is learnt, so that one slow host decides nothing.
+        /// Divisor of the weight of one answer: with an eighth, one slow host has little influence.
         const SHARE: u64 = 8;
         let sample_us = after_ms * 1_000;
         self.answer_us = (self.answer_us * (SHARE - 1) + sample_us) / SHARE;
     }
 
-    /// Goes on without the agents that have not answered in time; they may hold the flow.
+    /// Skips the agents that have not answered in time. They may hold the flow.
     pub(super) fn pass_over_questions(&mut self, now: Time, flow: Flow) {
         let entry = self.cache.entry(now, flow);
         for agent in std::mem::take(&mut entry.questions) {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// An agent said that only its backend server knows whether the flow is there.
+    /// Handles the answer of an agent that only its backend server knows whether the flow is there.
     pub(super) fn unsure(
         &mut self,
         now: Time,
@@ -93,8 +95,8 @@
         if entry.questions.is_empty() { self.decide(now, flow) } else { Vec::new() }
     }
 
-    /// Calls for the flow's packet, if agents are left that can be asked only with it. They are asked one
-    /// after the other: a packet that many servers get at once would look like a flow that lost its way.
+    /// Recalls the flow's packet, if some agents can be asked only with it. They are asked one by
+    /// one: a packet that reaches many servers at once would look like a misrouted flow.
     pub(super) fn call_for_packet(&mut self, now: Time, flow: Flow) -> Option<Action> {
         let entry = self.cache.entry(now, flow);
         let is_left = |agent: &Ipv4Addr| !entry.declined.contains(&(*agent, Reason::NotHeld));
--- a/crates/nutmegkeel_core/src/l4/cache.rs
+++ b/crates/nutmegkeel_core/src/l4/cache.rs
@@ -1,5 +1,5 @@
-//! What one balancer remembers of flows: where they are, or how far the search for them has come.
-//! A cache only: an entry that is lost costs one search.
+//! Cache of flows in a balancer: their agents, or the progress of the search for them. Losing an
+//! entry costs one search.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -8,40 +8,44 @@
 use super::message::Reason;
 use crate::clock::Time;
 
-/// Entries at most. At 23,000 open flows for a balancer of the size planned for, this leaves room
-/// for flows of others after a change of the fabric's choice, in about 15 MB.
+/// Maximum number of entries. A balancer has up to 23,000 open flows; this leaves room for flows of
+/// other balancers after the fabric changes its choice, in about 15 MB.
 pub const LARGEST: usize = 100_000;
 
-/// An entry unused for so long is dropped: no flow lives longer.
+/// Time after which an unused entry is removed, in milliseconds. No flow lives longer.
 const UNUSED_MS: u64 = 60_000;
 
-/// A client that has waited for so long has given up: no request has more time.
+/// Time after which a waiting client has given up, in milliseconds. No request has a later
+/// deadline.
 const UNDECIDED_MS: u64 = 10_000;
 
-/// A search that found nobody is begun anew after this: agents may have appeared.
+/// Time after which a search without a result is repeated, in milliseconds. Agents may have
+/// appeared.
 const SEARCH_MS: u64 = 1_000;
 
-/// An agent that has not answered a search for so long is passed over: a round trip between failure
-/// domains is 3 ms, and a small host that is busy may take some tens more.
+/// Time after which an agent that has not answered a search is skipped, in milliseconds. A round
+/// trip between failure domains takes 3 ms, and a small busy host may add some tens of
+/// milliseconds.
 pub const ANSWER_MS: u64 = 60;
 
-/// Pause until an agent that did not answer is asked again: it may have just started beside a backend
-/// server that it does not know yet, and two ticks later it knows.
+/// Pause before an agent that did not answer is asked again, in milliseconds. The agent may have
+/// just started next to a backend server that it does not know yet; it knows the server two ticks
+/// later.
 const AGAIN_MS: u64 = 200;
 
-/// Where a flow is, as far as this balancer knows.
+/// Location of a flow, as known to this balancer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Place {
-    /// An opening was sent there.
+    /// An opening was sent to this agent.
     Placed(Ipv4Addr),
-    /// The agent said that it holds the flow.
+    /// This agent reported that it holds the flow.
     Held(Ipv4Addr),
-    /// The agent was asked and has not answered.
+    /// This agent was asked and has not answered.
     Asked(Ipv4Addr),
 }
 
 impl Place {
-    /// The agent that packets of the flow go to.
+    /// Returns the agent that packets of the flow are sent to.
     #[must_use]
     pub const fn agent(&self) -> Ipv4Addr {
         match self {
@@ -50,28 +54,28 @@
     }
 }
 
-/// What is remembered of one flow.
+/// Cached state of one flow.
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// Where it is.
     pub place: Option<Place>,
     /// Agents that declined it, and why.
     pub declined: Vec<(Ipv4Addr, Reason)>,
-    /// Acknowledgement number of the client's last packet: a reset must carry it.
+    /// Acknowledgement number of the client's last packet, which a reset must carry.
     pub client_ack: u32,
-    /// Whether its client comes back after a refusal; none until that was looked up.
+    /// Whether its client retries after a refusal; none until this was looked up.
     pub returns: Option<bool>,
-    /// Agents that were passed over without an answer: one of them may hold the flow.
+    /// Agents that were skipped without an answer. One of them may hold the flow.
     pub unanswered: Vec<Ipv4Addr>,
     /// Agents that were asked without the packet and have not answered yet.
     pub questions: BTreeSet<Ipv4Addr>,
-    /// Agents that can say only with the packet whether they hold the flow.
+    /// Agents that need the packet to determine whether they hold the flow.
     pub unsure: BTreeSet<Ipv4Addr>,
-    /// When the present search or placement began.
+    /// When the current search or placement began.
     pub began: Time,
     /// When the agent of `place`, or those of `questions`, were asked.
     pub asked: Time,
-    /// Last use.
+    /// When the entry was last used.
     pub used: Time,
 }
 
@@ -91,24 +95,24 @@
         }
     }
 
-    /// Begins the search anew.
+    /// Restarts the search.
     pub fn restart(&mut self, now: Time) {
         *self = Self { client_ack: self.client_ack, ..Self::new(now) };
     }
 
-    /// Notes that an agent is asked for the flow.
+    /// Records that an agent is asked for the flow.
     pub fn ask(&mut self, now: Time, agent: Ipv4Addr) {
         self.place = Some(Place::Asked(agent));
         self.asked = now;
     }
 
-    /// Whether the search ended without a finding so long ago that it is worth another.
+    /// Returns whether the search ended without a result long enough ago to be repeated.
     #[must_use]
     pub fn is_stale(&self, now: Time) -> bool {
         self.place.is_none() && self.questions.is_empty() && now.since(self.began) > SEARCH_MS
     }
 
-    /// Whether an agent was asked, with the packet or without it, in the present search.
+    /// Returns whether an agent was asked in the current search, with or without the packet.
     #[must_use]
     pub fn was_asked(&self, agent: Ipv4Addr) -> bool {
         self.declined.contains(&(agent, Reason::NotHeld))
@@ -116,19 +120,19 @@
             || self.unsure.contains(&agent)
     }
 
-    /// Whether it is time to ask those again who did not answer.
+    /// Returns whether agents that did not answer may be asked again.
     #[must_use]
     pub fn may_ask_again(&self, now: Time) -> bool {
         self.place.is_none() && now.since(self.asked) > AGAIN_MS
     }
 
-    /// Whether the agent asked last is overdue.
+    /// Returns whether the answer of the last asked agent is overdue.
     #[must_use]
     pub fn is_overdue(&self, now: Time) -> bool {
         matches!(self.place, Some(Place::Asked(_))) && self.has_waited(now)
     }
 
-    /// Whether agents that were asked at once may still answer.
+    /// Returns whether agents that were asked at once may still answer.
     #[must_use]
     pub fn awaits_answers(&self, now: Time) -> bool {
         !self.questions.is_empty() && !self.has_waited(now)
@@ -139,16 +143,16 @@
     }
 }
 
-/// The entries by flow.
+/// Cache entries by flow.
 #[derive(Debug, Default)]
 pub struct Cache {
     entries: BTreeMap<Flow, Entry>,
-    /// Flows whose clients wait for a decision, since when.
+    /// Flows whose clients wait for a decision, with the time since which they wait.
     undecided: BTreeMap<Flow, Time>,
 }
 
 impl Cache {
-    /// The entry of a flow, made if there is none.
+    /// Returns the entry of a flow, created if there is none.
     pub fn entry(&mut self, now: Time, flow: Flow) -> &mut Entry {
         if self.entries.len() >= LARGEST && !self.entries.contains_key(&flow) {
             self.entries.pop_first();
@@ -158,34 +162,36 @@
         entry
     }
 
-    /// Forgets a flow.
+    /// Removes a flow.
     pub fn remove(&mut self, flow: &Flow) {
         self.entries.remove(flow);
         self.undecided.remove(flow);
     }
 
-    /// Drops what has not been used for long.
+    /// Removes entries that have not been used for [`UNUSED_MS`].
     pub fn expire(&mut self, now: Time) {
         self.entries.retain(|_, entry| now.since(entry.used) < UNUSED_MS);
     }
 
-    /// Notes that a packet was dropped because nobody could be ruled out yet: its client waits.
+    /// Records that a client waits, because its packet could not be handled before all agents
+    /// answer.
     pub fn wait(&mut self, now: Time, flow: Flow) {
         self.undecided.entry(flow).or_insert(now);
     }
 
-    /// Notes that the client need not wait any more.
+    /// Records that the client no longer waits.
     pub fn decide(&mut self, flow: &Flow) {
         self.undecided.remove(flow);
     }
 
-    /// Flows whose clients wait for a decision; those that have waited too long are given up.
+    /// Returns flows whose clients wait for a decision. Removes those that have waited too long.
     pub fn undecided(&mut self, now: Time) -> Vec<Flow> {
         self.undecided.retain(|_, since| now.since(*since) <= UNDECIDED_MS);
         self.undecided.keys().copied().collect()
     }
 
-    /// Flows that an agent said it holds, with the clients' last acknowledgement numbers.
+    /// Returns the flows that an agent reported to hold, with the clients' last acknowledgement
+    /// numbers.
     #[must_use]
     pub fn held_by(&self, agent: Ipv4Addr) -> Vec<(Flow, u32)> {
         let there = |entry: &Entry| entry.place == Some(Place::Held(agent));
@@ -193,13 +199,13 @@
         entries.map(|(flow, entry)| (*flow, entry.client_ack)).collect()
     }
 
-    /// Number of flows remembered.
+    /// Returns the number of cached flows.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Returns whether the cache is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
--- a/crates/nutmegkeel_core/src/l4/fetch.rs
+++ b/crates/nutmegkeel_core/src/l4/fetch.rs
@@ -1,8 +1,8 @@
-//! From whom a process fetches a configuration that others have, and when.
+//! Decides when and from which process to fetch a newer configuration.
 //!
-//! The load pattern: a delegate tells its whole failure domain of a new configuration in one moment, and all
-//! ask it for the text in the same one. Some connections hang, and an asker that waits until its call is given
-//! up serves by the old configuration for that long.
+//! Matters when a delegate notifies its whole failure domain of a new configuration and all
+//! processes request it at the same time. Some connections hang, and a process that waits until its
+//! call times out uses the old configuration for that long.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -10,18 +10,20 @@
 use crate::clock::Time;
 use crate::placement::mix;
 
-/// Askers of a failure domain spread over this, in milliseconds: long enough for a delegate on a narrow link
-/// to serve one after the other, and short beside the time in which a change is to be in force.
+/// Time over which the processes of a failure domain spread their requests, in milliseconds. Long
+/// enough for a delegate on a slow link to answer them one by one, and short compared to the time
+/// within which a change must be in force.
 const SPREAD_MS: u64 = 40;
 
-/// A call that is not answered within this is doubted, in milliseconds: a process that is well answers within
-/// a few, also when others ask it before.
+/// Time after which a call without an answer is doubted, in milliseconds. A healthy process answers
+/// within a few milliseconds, even behind other requests.
 const DOUBT_MS: u64 = 150;
 
-/// Calls under way at most, so that doubt no more than doubles what a slow holder has to send.
+/// Maximum number of concurrent calls. With two, a doubted call at most doubles what a slow holder
+/// has to send.
 const CALLS: usize = 2;
 
-/// Holders that are kept in mind at most.
+/// Maximum number of known holders.
 const HOLDERS: usize = 8;
 
 /// A process that has a configuration.
@@ -33,7 +35,7 @@
     pub version: u64,
 }
 
-/// The calls of one process for a newer configuration.
+/// Calls of one process for a newer configuration.
 #[derive(Debug)]
 pub struct Plan {
     own: Ipv4Addr,
@@ -47,13 +49,13 @@
 }
 
 impl Plan {
-    /// The plan of the process at `own`, which has no configuration.
+    /// Creates the plan of the process at `own`, which has no configuration.
     #[must_use]
     pub const fn open(own: Ipv4Addr) -> Self {
         Self { own, held: 0, holders: BTreeMap::new(), called: Vec::new(), due: None }
     }
 
-    /// Takes in that another process has a configuration.
+    /// Adds a process that has a configuration.
     pub fn told(&mut self, now: Time, holder: Holder) {
         let has_room = self.holders.len() < HOLDERS || self.holders.contains_key(&holder.address);
         if holder.version <= self.held || !has_room {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Takes in that this process has a configuration, from wherever it came.
+    /// Records the version that this process has, from any source.
     pub fn hold(&mut self, version: u64) {
         self.held = self.held.max(version);
         self.holders.retain(|_, told| *told > self.held);
@@ -74,23 +76,22 @@
         }
     }
 
-    /// When the next call is due, if one is.
+    /// Returns when the next call is due, if one is.
     #[must_use]
     pub const fn due(&self) -> Option<Time> {
         self.due
     }
 
-    /// Number of calls that have not ended: more than one if a holder is doubted.
+    /// Returns the number of calls in flight. More than one means that a holder is doubted.
     #[must_use]
     pub fn under_way(&self) -> usize {
         self.called.len()
     }
 
-    /// The holder to call now, if a call is due.
+    /// Returns the holder to call now, if a call is due.
     ///
-    /// Guards against a configuration that is late by a whole timeout because one call hangs. The first call
-    /// goes on: a holder that is slow rather than gone still answers it, and whichever answer comes first
-    /// serves.
+    /// Guards against a configuration that is late by a whole timeout because one call hangs. The
+    /// first call continues, because a slow holder may still answer it; the first answer is used.
     pub fn next(&mut self, now: Time) -> Option<Ipv4Addr> {
         if self.due.is_none_or(|due| now < due) {
             return None;
@@ -102,15 +103,15 @@
         holder
     }
 
-    /// Takes in that a call ended, with the version that it brought if it brought one.
+    /// Records the end of a call, with the version that it returned, if any.
     pub fn ended(&mut self, now: Time, holder: Ipv4Addr, brought: Option<u64>) {
         if let Some(index) = self.called.iter().position(|called| *called == holder) {
             self.called.swap_remove(index);
         }
         match brought {
             Some(version) if version > self.held => self.hold(version),
-            // Whoever has something newer says so again. Guards against calls without a pause to a holder that
-            // serves an older text than it told of.
+            // A holder with a newer version reports it again. Guards against continuous calls to a
+            // holder that serves an older version than it reported.
             _ => {
                 self.holders.remove(&holder);
             }
@@ -119,9 +120,10 @@
         self.due = goes_on.then_some(now);
     }
 
-    /// The holder to call: one that is not being called, of those the one with the newest configuration, of
-    /// equals the one that a hash names, so that the askers of a failure domain part between its delegates.
-    /// One that is being called may be called again, since it may be the connection that hangs.
+    /// Returns the holder to call. Prefers holders without a call in flight, then the newest
+    /// configuration, then a hash that spreads the processes of a failure domain over its
+    /// delegates. A holder with a call in flight may be called again, because only its connection
+    /// may hang.
     fn best(&self) -> Option<Ipv4Addr> {
         let rank = |address: &Ipv4Addr, version: u64| {
             let place = u64::from(self.own.to_bits()) << 32 | u64::from(address.to_bits());
--- a/crates/nutmegkeel_core/src/l4/message.rs
+++ b/crates/nutmegkeel_core/src/l4/message.rs
@@ -1,5 +1,5 @@
-//! Messages between balancers and agents. Openings, packets of open flows, refusals and relayed packets
-//! carry a packet of a client behind them.
+//! Messages between balancers and agents. An opening, a packet of an open flow, a refusal and a
+//! relayed packet are followed by a packet of a client.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -12,65 +12,69 @@
 use super::route::{Service, Urgency};
 use crate::revision::Revision;
 
-/// A message; what follows it in the datagram is the packet it speaks of, unchanged.
+/// A message. The client's packet that it refers to, if any, follows it in the datagram, unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Balancer to agent: take this opening.
+    /// Balancer to agent: offers an opening.
     Open(Offer),
-    /// Balancer to agent: a packet of an open flow.
+    /// Balancer to agent: forwards a packet of an open flow.
     Carry {
-        /// Whether the balancer knows that the agent holds the flow; if not, the agent says so.
+        /// Whether the balancer knows that the agent holds the flow. If not, the agent confirms it.
         known: bool,
     },
-    /// Balancer to agent: is this flow here? Asked when a client waits and no packet is at hand.
+    /// Balancer to agent: asks whether it holds this flow. Sent when a client waits and no packet
+    /// is available.
     Locate {
         /// The flow.
         flow: Flow,
     },
-    /// Agent to balancer: this flow is not here.
+    /// Agent to balancer: it does not hold this flow.
     Absent {
         /// The flow.
         flow: Flow,
-        /// Load of the agent at that moment.
+        /// Load of the agent at that time.
         load: Load,
     },
-    /// Agent to balancer: not taken, try the next; the packet comes back behind this.
+    /// Agent to balancer: it did not accept the packet, which follows this message. The balancer
+    /// tries the next agent.
     Declined {
         /// Why.
         reason: Reason,
-        /// Load of the agent at that moment.
+        /// Load of the agent at that time.
         load: Load,
     },
-    /// Agent to balancer: this flow is here.
+    /// Agent to balancer: it holds this flow.
     Holds {
         /// The flow.
         flow: Flow,
-        /// Load of the agent at that moment.
+        /// Load of the agent at that time.
         load: Load,
     },
-    /// Agent to each balancer, about itself.
+    /// Agent to balancer: its own state.
     Announce(Announcement),
-    /// Balancer to balancer: handle this packet of a client. Sent while the sender has no configuration.
+    /// Balancer to balancer: asks it to handle a client's packet. Sent while the sender has no
+    /// configuration.
     Relay,
-    /// Balancer to agents and balancers: who the balancers are, and which configuration it has.
+    /// Balancer to agents and balancers: the known balancers and its configuration version.
     Roster(Roster),
-    /// Balancer to balancer: what the agents of the sender's failure domain last said.
+    /// Balancer to balancer: last reports of the agents of the sender's failure domain.
     Summary(Summary),
-    /// Agent to balancer, with a refusal: the orders of evacuation that it rests on.
+    /// Agent to balancer, with a refusal: the evacuation orders that the refusal is based on.
     Orders(Orders),
-    /// Agent to balancer: write this list of open flows to the store, together with others.
+    /// Agent to balancer: asks it to save this list of open flows in the store, together with
+    /// others.
     Deposit(Checkpoint),
-    /// Balancer to agent: the store has a list of its with this number, or a later one.
+    /// Balancer to agent: the store has the agent's list with this number, or a later one.
     Written {
         /// Number of the list.
         number: u64,
     },
-    /// Agent to balancer: only the backend server knows whether this flow is here, and it can be asked only
-    /// with a packet.
+    /// Agent to balancer: only the backend server knows whether the flow exists, and it can be
+    /// asked only with a packet of the flow.
     Unsure {
         /// The flow.
         flow: Flow,
-        /// Load of the agent at that moment.
+        /// Load of the agent at that time.
         load: Load,
     },
 }
@@ -78,70 +82,71 @@
 /// An opening that a balancer offers to an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
-    /// Service that the route names; the agent refuses if its backend server is of another.
+    /// Service that the route names. The agent refuses if its backend server belongs to another
+    /// one.
     pub service: Service,
-    /// How urgently the flow needs this agent.
+    /// Condition under which the agent accepts the flow.
     pub insistence: Insistence,
-    /// What its requests ask for.
+    /// Requirements of its requests.
     pub demand: Demand,
     /// How long the opening has waited elsewhere, in milliseconds.
     pub waited_ms: u32,
-    /// Revision of the orders of evacuation by which the balancer chose the agent; [`Revision::ZERO`] for a
-    /// copy, which goes where the first went.
+    /// Revision of the evacuation orders by which the balancer chose the agent. [`Revision::ZERO`]
+    /// for a copy of an opening, which goes where the first one went.
     pub orders: Revision,
-    /// Openings a second that a backend server of the service bears while it is cold; zero where no
-    /// rate is given.
+    /// Openings per second that a backend server of the service can handle while it is cold; zero
+    /// where no rate is configured.
     pub cold_per_s: u32,
-    /// Whether the client comes back after a refusal for want of room.
+    /// Whether the client retries after a refusal for lack of room.
     pub returns: bool,
 }
 
-/// How an agent should weigh an opening.
+/// Condition under which an agent accepts an opening.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Insistence {
-    /// Take it if a slot is free now; another agent will be asked otherwise.
+    /// Accept if a slot is free now; another agent is asked otherwise.
     IfIdle,
-    /// Take it unless its answer would come too late.
+    /// Accept unless the answer would come too late.
     IfInTime,
 }
 
-/// What the requests of a flow ask for, by the route that it came by.
+/// Requirements of the requests of a flow, by its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Time within which an answer has its full value, in milliseconds.
     pub objective_ms: u32,
-    /// Time within which an answer is of any use, in milliseconds.
+    /// Time after which an answer is of no use, in milliseconds.
     pub deadline_ms: u32,
-    /// Whether a request must not run twice. Its client may try again only if it cannot have run, so it
-    /// waits behind others only where urgency says which.
+    /// Whether a request must not run twice. Its client may retry only if the request cannot have
+    /// run, so the request waits behind others only where urgency orders them.
     pub once: bool,
-    /// How urgent they are.
+    /// Urgency of the requests.
     pub urgency: Urgency,
 }
 
-/// Why an agent did not take a packet.
+/// Reason for which an agent did not accept a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reason {
     /// It does not hold the flow.
     NotHeld,
-    /// Its backend server is of another service, or there is none.
+    /// Its backend server belongs to another service, or it has none.
     WrongService,
-    /// Its backend server is leaving or stopped answering, or the agent itself is leaving.
+    /// Its backend server is leaving or has stopped answering, or the agent itself is leaving.
     Leaving,
-    /// All slots are taken now.
+    /// All slots are in use.
     Busy,
-    /// It could not be served in time.
+    /// The request could not be answered in time.
     Late,
-    /// The backend server turned the opening away.
+    /// The backend server refused the opening.
     Full,
     /// The operator has evacuated its failure domain.
     Evacuated,
-    /// Its backend server is cold and has been given what it bears.
+    /// Its backend server is cold and has been given as many openings as it can handle.
     Cold,
 }
 
 impl Reason {
-    /// Word for logs and metrics.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -157,86 +162,88 @@
     }
 }
 
-/// What an agent counts itself, from the packets that pass it.
+/// Load of an agent, counted from the packets that pass it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests whose answer has not begun, openings not yet followed by a request, and openings that
+    /// Requests whose answer has not begun, openings without a request so far, and openings that
     /// wait for a slot.
     pub busy: u16,
     /// Open flows.
     pub flows: u16,
-    /// How long a slot works on a request now, in milliseconds; zero while that is not known.
+    /// Current time that a slot spends on a request, in milliseconds; zero while unknown.
     pub service_ms: u16,
 }
 
-/// Whether an agent takes new flows.
+/// Whether an agent accepts new flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// Takes new flows.
+    /// Accepts new flows.
     Ready,
-    /// Its backend server breaks requests off. It gets new flows only when no other takes them.
+    /// Its backend server aborts requests. It gets new flows only if no other agent accepts them.
     Failing,
-    /// Has no backend server that takes flows: not announced yet, draining, unresponsive or gone.
+    /// Has no backend server that accepts flows: it is not announced yet, draining, unresponsive or
+    /// gone.
     Closed,
-    /// The agent process itself is being replaced; its backend server keeps its flows.
+    /// The agent process is being replaced; its backend server keeps its flows.
     Restarting,
     /// The backend server has ended, and the agent ends with it.
     Gone,
 }
 
-/// An agent's word about itself. A later one replaces an earlier one.
+/// State of an agent as reported by itself. A later announcement replaces an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// When the agent process started, Unix milliseconds: orders announcements of two processes
+    /// Start time of the agent process in Unix milliseconds. Orders announcements of two processes
     /// that had the same address.
     pub incarnation: u64,
-    /// Count of announcements by this process: orders them.
+    /// Number of this announcement. Orders the announcements of one process.
     pub number: u64,
     /// Failure domain.
     pub domain: Arc<str>,
     /// Service of its backend server.
     pub service: Option<Service>,
-    /// Requests that the backend server works on at once.
+    /// Requests that the backend server processes concurrently.
     pub slots: u16,
     /// Whether the backend server is still slow after its start.
     pub cold: bool,
-    /// Openings that it may be given now because it is cold; none where nothing bounds them.
+    /// Openings that it may be given now because it is cold; none if unlimited.
     pub room: Option<u32>,
-    /// Whether it takes new flows.
+    /// Whether it accepts new flows.
     pub state: State,
     /// Its load.
     pub load: Load,
-    /// Digest of the balancers it knows; a balancer that knows others answers with its roster.
+    /// Digest of the balancers that it knows. A balancer that knows others replies with its list.
     pub balancers: u64,
-    /// Version of the configuration that it holds a copy of for balancers; zero if it holds none.
+    /// Version of the configuration of which it holds a copy for balancers; zero if it holds none.
     pub replica: u64,
 }
 
-/// What the agents of one failure domain last said, as one of its balancers heard it.
+/// Last reports of the agents of one failure domain, as received by one of its balancers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
     /// The failure domain.
     pub domain: Arc<str>,
-    /// The services that reports name by their place here: of one length each, where a domain has few.
+    /// The services that reports refer to by index. An index keeps all reports at one length, and a
+    /// failure domain has few services.
     pub services: Vec<Service>,
     /// Its agents, or a part of them.
     pub reports: Vec<Report>,
-    /// Whether a balancer of the receiver's failure domain passed it on.
+    /// Whether a balancer of the receiver's failure domain forwarded it.
     pub passed_on: bool,
 }
 
-/// What one agent last said of itself.
+/// Last state that one agent reported.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The agent.
     pub agent: Ipv4Addr,
-    /// How long ago the sender of the summary had its last sign, in milliseconds.
+    /// Time since the sender of the summary last received a message of the agent, in milliseconds.
     pub age_ms: u32,
     /// As in [`Announcement`].
     pub incarnation: u64,
     /// As in [`Announcement`].
     pub number: u64,
-    /// Place of its backend server's service in the summary.
+    /// Index of its backend server's service in the summary.
     pub service: Option<u8>,
     /// As in [`Announcement`].
     pub slots: u16,
@@ -251,14 +258,14 @@
 }
 
 impl Summary {
-    /// A summary of a failure domain that tells of nobody yet.
+    /// Creates a summary of a failure domain without reports.
     #[must_use]
     pub fn open(domain: &Arc<str>) -> Self {
         let domain = Arc::clone(domain);
         Self { domain, services: Vec::new(), reports: Vec::new(), passed_on: false }
     }
 
-    /// What an agent said that one of the reports tells of.
+    /// Converts a report into the announcement of its agent.
     #[must_use]
     pub fn announcement(&self, report: &Report) -> Announcement {
         let service = report.service.and_then(|place| self.services.get(usize::from(place)));
@@ -284,25 +291,26 @@
     }
 }
 
-/// A balancer's word about itself and its peers.
+/// State of a balancer, with the balancers that it knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
-    /// Version of the configuration that it has in force; zero while it has none.
+    /// Version of its configuration in force; zero while it has none.
     pub version: u64,
     /// Failure domain.
     pub domain: Arc<str>,
-    /// Digest of the addresses of all balancers it knows, its own among them.
+    /// Digest of the addresses of all balancers that it knows, including its own.
     pub digest: u64,
-    /// Number of these addresses. Who knows fewer has something to learn.
+    /// Number of these addresses. A receiver that knows fewer lacks some.
     pub known: u32,
-    /// These addresses, or a part of them; left out where the receiver is likely to know them.
+    /// These addresses, or a part of them. Left out where the receiver probably knows them.
     pub balancers: Vec<Ipv4Addr>,
-    /// Agents that it hears of now. A balancer that hears of fewer has not heard of all.
+    /// Number of agents that it receives announcements of. A balancer with a lower number does not
+    /// know all agents.
     pub agents: u32,
     /// Whether the store answered its last call.
     pub reaches_store: bool,
     /// Whether the sender is about to stop.
     pub leaving: bool,
-    /// The orders of evacuation in force; none while it has heard of none.
+    /// The evacuation orders in force; none while it has received none.
     pub orders: Option<Orders>,
 }
--- a/crates/nutmegkeel_core/src/l4/roster.rs
+++ b/crates/nutmegkeel_core/src/l4/roster.rs
@@ -1,4 +1,5 @@
-//! Who the balancers are, as balancers and agents learn it from settings, the store and each other.
+//! The balancers that a balancer or an agent knows from its settings, the store and other
+//! balancers.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -6,31 +7,32 @@
 use crate::clock::Time;
 use crate::revision::Revision;
 
-/// A balancer that nobody has spoken of for so long is dropped. Longer than the pause between two
-/// reads of the store's list and than any usual loss of datagrams.
+/// Time after which a balancer that no message has mentioned is removed, in milliseconds. Longer
+/// than the pause between two reads of the store's list, and than any usual loss of datagrams.
 pub const KEPT_MS: u64 = 12_000;
 
-/// An agent is told who the balancers are at least so often, in milliseconds: three times within the
-/// span after which it drops a balancer that nobody speaks of.
+/// Longest interval at which an agent is sent the balancers, in milliseconds: three times within
+/// the time after which it removes a balancer that is not mentioned.
 pub const TELL_MS: u64 = KEPT_MS / 3;
 
-/// The same for an agent of the own failure domain, in milliseconds: it must notice within seconds that no
-/// balancer there hears it, and speak to all others then.
+/// The same for an agent of the same failure domain, in milliseconds. It must notice within seconds
+/// that no balancer there receives its announcements, and send them to all others then.
 pub const TELL_NEAR_MS: u64 = 1_000;
 
-/// Which balancers another process was told of, and when.
+/// Records which balancers were sent to another process, and when.
 #[derive(Clone, Copy, Debug)]
 pub struct Told {
-    /// When it was told.
+    /// When they were sent.
     pub at: Time,
     /// Digest of the addresses.
     pub digest: u64,
-    /// Revision of the orders of evacuation that it was told of.
+    /// Revision of the evacuation orders that were sent.
     pub orders: Revision,
 }
 
 impl Told {
-    /// Whether this makes another telling needless: the same view, less than `pause_ms` ago.
+    /// Returns whether this makes sending `next` unnecessary: same contents, less than `pause_ms`
+    /// ago.
     #[must_use]
     pub fn covers(&self, next: &Self, pause_ms: u64) -> bool {
         self.digest == next.digest
@@ -39,73 +41,73 @@
     }
 }
 
-/// Balancers by address, with the time of the last word of each.
+/// Balancers by address, with the time at which each last sent a message or was mentioned.
 #[derive(Clone, Debug, Default)]
 pub struct Book {
     balancers: BTreeMap<Ipv4Addr, Time>,
 }
 
 impl Book {
-    /// Notes a word of a balancer; true if it was not known.
+    /// Records a message from or about a balancer. Returns true if it was unknown.
     pub fn heard(&mut self, now: Time, balancer: Ipv4Addr) -> bool {
         self.balancers.insert(balancer, now).is_none()
     }
 
-    /// Notes that somebody spoke of all balancers known here.
+    /// Records a message that confirms all known balancers.
     pub fn heard_all(&mut self, now: Time) {
         for heard in self.balancers.values_mut() {
             *heard = now;
         }
     }
 
-    /// Drops balancers that nobody has spoken of for long.
+    /// Removes balancers that no message has mentioned for [`KEPT_MS`].
     pub fn expire(&mut self, now: Time) {
         self.balancers.retain(|_, heard| now.since(*heard) < KEPT_MS);
     }
 
-    /// Forgets a balancer that said it stops.
+    /// Removes a balancer that reported that it stops.
     pub fn remove(&mut self, balancer: Ipv4Addr) {
         self.balancers.remove(&balancer);
     }
 
-    /// Whether a balancer is known.
+    /// Returns whether a balancer is known.
     #[must_use]
     pub fn knows(&self, balancer: Ipv4Addr) -> bool {
         self.balancers.contains_key(&balancer)
     }
 
-    /// All known balancers.
+    /// Returns all known balancers.
     pub fn iter(&self) -> impl Iterator<Item = Ipv4Addr> + '_ {
         self.balancers.keys().copied()
     }
 
-    /// Balancers that spoke themselves, or were spoken of, within the last `within_ms`.
+    /// Returns balancers that sent a message or were mentioned in one within the last `within_ms`.
     #[must_use]
     pub fn heard_within(&self, now: Time, within_ms: u64) -> Vec<Ipv4Addr> {
         let recent = self.balancers.iter().filter(|(_, heard)| now.since(**heard) <= within_ms);
         recent.map(|(balancer, _)| *balancer).collect()
     }
 
-    /// Number of balancers known.
+    /// Returns the number of known balancers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.balancers.len()
     }
 
-    /// Whether no balancer is known.
+    /// Returns whether no balancer is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.balancers.is_empty()
     }
 
-    /// Digest of the known addresses.
+    /// Returns the digest of the known addresses.
     #[must_use]
     pub fn digest(&self) -> u64 {
         digest(self.iter())
     }
 }
 
-/// Digest of addresses in ascending order.
+/// Computes a digest of addresses in ascending order.
 #[must_use]
 pub fn digest(addresses: impl Iterator<Item = Ipv4Addr>) -> u64 {
     let mut hasher = blake3::Hasher::new();
--- a/crates/nutmegkeel_core/src/l4/turnover.rs
+++ b/crates/nutmegkeel_core/src/l4/turnover.rs
@@ -1,7 +1,7 @@
-//! Which processes changed since the last log line about them.
+//! Processes that changed since the last log line about them.
 //!
-//! The load pattern: a fleet starts, and every process gets to know every other. A line for each would be as many
-//! lines as there are pairs.
+//! Matters when a fleet starts and all processes discover each other: one line per change would
+//! give as many lines as there are pairs.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -11,16 +11,16 @@
 /// Processes of one role that changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Turnover {
-    /// New ones, or new processes at known addresses.
+    /// New processes, also at known addresses.
     pub appeared: BTreeSet<Ipv4Addr>,
-    /// Those that take new flows again.
+    /// Processes that accept new flows again.
     pub opened: BTreeSet<Ipv4Addr>,
-    /// Those that take no new flows any more, or stop.
+    /// Processes that no longer accept new flows, or stop.
     pub closed: BTreeSet<Ipv4Addr>,
 }
 
 impl Turnover {
-    /// Notes a change of one process.
+    /// Records a change of one process.
     pub fn note(&mut self, process: Ipv4Addr, change: Change) {
         let to = match change {
             Change::None | Change::Stale => return,
@@ -31,19 +31,19 @@
         to.insert(process);
     }
 
-    /// Takes out what changed, if anything did.
+    /// Returns the changes and resets them; none if nothing changed.
     pub fn take(&mut self) -> Option<Self> {
         let changed = std::mem::take(self);
         (changed.count() > 0).then_some(changed)
     }
 
-    /// Number of changes.
+    /// Returns the number of changes.
     #[must_use]
     pub fn count(&self) -> usize {
         self.appeared.len() + self.opened.len() + self.closed.len()
     }
 
-    /// All that changed.
+    /// Returns all processes that changed.
     pub fn all(&self) -> impl Iterator<Item = &Ipv4Addr> {
         self.appeared.iter().chain(&self.opened).chain(&self.closed)
     }
--- a/crates/nutmegkeel_core/src/l4/watch.rs
+++ b/crates/nutmegkeel_core/src/l4/watch.rs
@@ -1,13 +1,14 @@
 //! Timeouts of a watch of the store.
 //!
-//! A watch may stay unanswered because nothing has changed, because its connection has gone silent, or because the
-//! store was restored from an older copy and its revisions have already passed the one that the watch continues
-//! from. The caller cannot tell these apart, so each watch ends early enough for the next call to find the change in
-//! time.
+//! A watch may stay unanswered because nothing has changed, because its connection has become
+//! silent, or because the store was restored from an older copy and its revisions have already
+//! passed the one that the watch continues from. The caller cannot distinguish these cases, so each
+//! watch ends early enough for the next call to find the change in time.
 
 use std::time::Duration;
 
-/// Upper bound of [`Timeouts::wait`], in milliseconds. Limits how late a watch on a silent connection ends.
+/// Upper bound of [`Timeouts::wait`], in milliseconds. Limits how late a watch on a silent
+/// connection ends.
 const LONGEST_WAIT_MS: u64 = 8_000;
 
 /// Upper bound of [`Timeouts::answer`], in milliseconds.
@@ -26,10 +27,10 @@
 }
 
 impl Timeouts {
-    /// Timeouts with which a change is in force within `apply_ms` even if the watch that should have reported it is
-    /// never answered. The watch takes at most two thirds of `apply_ms`, but no less than a lower
-    /// bound that prevents busy polling. The rest is for the next call and for the processes that fetch the change
-    /// from this one.
+    /// Returns timeouts with which a change is in force within `apply_ms` even if the watch that
+    /// should have reported it is never answered. The watch takes at most two thirds of `apply_ms`,
+    /// but no less than a lower bound that prevents busy polling. The rest is for the next call and
+    /// for the processes that fetch the change from this one.
     #[must_use]
     pub fn for_apply_time(apply_ms: u64) -> Self {
         let total_ms = (apply_ms / 3).saturating_mul(2).max(SHORTEST_TOTAL_MS);
@@ -38,13 +39,13 @@
         Self { wait: Duration::from_millis(wait_ms), answer: Duration::from_millis(answer_ms) }
     }
 
-    /// The same timeouts with `wait` limited to `longest`.
+    /// Returns the same timeouts with `wait` limited to `longest`.
     #[must_use]
     pub fn with_wait_at_most(self, longest: Duration) -> Self {
         Self { wait: self.wait.min(longest), ..self }
     }
 
-    /// Timeout of the whole call.
+    /// Returns the timeout of the whole call.
     #[must_use]
     pub fn total(&self) -> Duration {
         self.wait + self.answer
--- a/crates/nutmegkeel_core/src/l4/word.rs
+++ b/crates/nutmegkeel_core/src/l4/word.rs
@@ -1,4 +1,4 @@
-//! What balancers say of themselves to each other.
+//! State that balancers report about themselves to each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -8,33 +8,36 @@
 use crate::clock::Time;
 use crate::placement::mix;
 
-/// A balancer's word counts for so long at least, in milliseconds: three of its ticks.
+/// Minimum time for which a balancer's reported state is valid, in milliseconds: three of its
+/// ticks.
 pub const COUNTED_MS: u64 = 1_500;
 
-/// Balancers of a failure domain that act for all of it. Two, so that one that dies or is cut off leaves no
-/// gap; more would only repeat their calls to the store.
+/// Number of balancers of a failure domain that act on behalf of the whole domain. With two, one
+/// that dies or is cut off leaves no gap; more would only repeat their calls to the store.
 pub const DELEGATES: usize = 2;
 
-/// Rounds of gossip after which a balancer's word no longer counts: one may be lost.
+/// Rounds of gossip after which a balancer's state is no longer valid. With two, one message may be
+/// lost.
 const ROUNDS: u64 = 2;
 
-/// Pause of a delegate between two watches after a change, in milliseconds: a burst of changes is read with a
-/// few calls, since each is paid for.
+/// Pause of a delegate between two watches after a change, in milliseconds. It lets a few calls
+/// read a burst of changes, since each call to the store is billed.
 const COALESCE_MS: u64 = 400;
 
-/// Pause of a delegate before it watches the store again after a change, in milliseconds, if its last watch
-/// lasted for `lasted_ms`.
+/// Returns the pause of a delegate before it watches the store again after a change, in
+/// milliseconds, if its last watch lasted for `lasted_ms`.
 ///
-/// The load pattern: changes in quick succession. Two delegates that were both waiting hear of the first
-/// one in the same moment, and with equal pauses would both miss the next for as long. The second pauses for
-/// half the time then, so that they take turns: a change is seen within half a pause, for no more calls.
+/// Matters when changes follow each other quickly. Two delegates that are both waiting receive the
+/// first change at the same time, and with equal pauses both would miss the next one for the same
+/// time. The second delegate therefore pauses for half the time, so that they alternate: a change
+/// is seen within half a pause, without more calls.
 #[must_use]
 pub const fn pause_after_change_ms(rank: usize, lasted_ms: u64) -> u64 {
     let had_waited = lasted_ms >= COALESCE_MS / 2;
     if rank > 0 && had_waited { COALESCE_MS / 2 } else { COALESCE_MS }
 }
 
-/// A balancer that may be a delegate, in the order in which they are named.
+/// A balancer that may be a delegate, ordered by preference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Contender {
     is_cut_off: bool,
@@ -50,33 +53,33 @@
     }
 }
 
-/// What one balancer said of itself.
+/// State that one balancer last reported about itself.
 #[derive(Clone, Debug)]
 pub struct Word {
-    /// When it said so.
+    /// When it was received.
     pub said: Time,
     /// Failure domain.
     pub domain: Arc<str>,
-    /// Agents that it hears of.
+    /// Number of agents that it receives announcements of.
     pub agents: usize,
     /// Version of its configuration; zero while it has none.
     pub version: u64,
     /// Whether the store answered its last call.
     pub reaches_store: bool,
-    /// Whether it is about to stop. It still carries packets, and hears of agents.
+    /// Whether it is about to stop. It still forwards packets and receives announcements.
     pub leaving: bool,
 }
 
-/// The last word of each balancer.
+/// The last state of each balancer.
 #[derive(Debug, Default)]
 pub struct Words {
     words: BTreeMap<Ipv4Addr, Word>,
-    /// Time in which every balancer speaks once, in milliseconds.
+    /// Time in which every balancer sends its state once, in milliseconds.
     round_ms: u64,
 }
 
 impl Words {
-    /// Takes in a balancer's word.
+    /// Applies a state received from a balancer.
     pub fn hear(&mut self, now: Time, from: Ipv4Addr, roster: &Roster) {
         let word = Word {
             said: now,
@@ -89,38 +92,39 @@
         self.words.insert(from, word);
     }
 
-    /// The last word of a balancer, however old.
+    /// Returns the last state of a balancer, however old.
     #[must_use]
     pub fn get(&self, balancer: Ipv4Addr) -> Option<&Word> {
         self.words.get(&balancer)
     }
 
-    /// Forgets a balancer that said it stops.
+    /// Removes a balancer that reported that it stops.
     pub fn remove(&mut self, balancer: Ipv4Addr) {
         self.words.remove(&balancer);
     }
 
-    /// Notes in which time every balancer speaks once. Guards against words that are out of date before
-    /// the next one comes: gossip goes to a few balancers at a time, and with 59 of them each hears
-    /// another only each 4 s.
+    /// Sets the time in which every balancer sends its state once. Guards against states that
+    /// expire before the next one arrives: gossip goes to a few balancers at a time, so the
+    /// interval between two states of one balancer grows with their number; with 59 balancers it is
+    /// 4 s.
     pub fn set_round(&mut self, round_ms: u64) {
         self.round_ms = round_ms;
     }
 
-    /// How long a word counts now, in milliseconds.
+    /// Returns how long a state is valid, in milliseconds.
     #[must_use]
     pub fn counted_ms(&self) -> u64 {
         COUNTED_MS.max(ROUNDS * self.round_ms + COUNTED_MS / 2)
     }
 
-    /// The words that count.
+    /// Returns the valid states.
     pub fn recent(&self, now: Time) -> impl Iterator<Item = (Ipv4Addr, &Word)> + '_ {
         let counted_ms = self.counted_ms();
         let recent = self.words.iter().filter(move |(_, word)| now.since(word.said) <= counted_ms);
         recent.map(|(balancer, word)| (*balancer, word))
     }
 
-    /// The words that count, of balancers of one failure domain.
+    /// Returns the valid states of the balancers of one failure domain.
     pub fn of_domain<'a>(
         &'a self,
         now: Time,
@@ -129,30 +133,32 @@
         self.recent(now).filter(move |(_, word)| *word.domain == *domain)
     }
 
-    /// Number of failure domains of the balancers whose words count.
+    /// Returns the number of failure domains of the balancers with a valid state.
     #[must_use]
     pub fn domains(&self, now: Time) -> u64 {
         let domains: BTreeSet<&str> = self.recent(now).map(|(_, word)| &*word.domain).collect();
         u64::try_from(domains.len()).unwrap_or(u64::MAX)
     }
 
-    /// The words of the last moment: what depends on the present, such as how many agents a balancer hears of,
-    /// is out of date sooner than who the balancers are.
+    /// Returns the states of the last [`COUNTED_MS`]. Volatile values, such as the number of agents
+    /// that a balancer receives announcements of, are outdated sooner than the list of balancers.
     pub fn fresh(&self, now: Time) -> impl Iterator<Item = (Ipv4Addr, &Word)> + '_ {
         self.staying(now).filter(move |(_, word)| now.since(word.said) <= COUNTED_MS)
     }
 
-    /// The words that count, of balancers that are not about to stop.
+    /// Returns the valid states of balancers that are not about to stop.
     pub fn staying(&self, now: Time) -> impl Iterator<Item = (Ipv4Addr, &Word)> + '_ {
         self.recent(now).filter(|(_, word)| !word.leaving)
     }
 
-    /// The balancers that act for a failure domain towards the store, by the words that count and `own`, the
-    /// asking balancer itself: a hash names the first two among those that the store answers, or among all
-    /// if it answers none of them. One that has been silent for `patience_ms` is passed over.
+    /// Returns the balancers that act for a failure domain towards the store, by the valid states
+    /// and `own`, the calling balancer itself. A hash selects the first two of those that the store
+    /// answers, or of all if it answers none of them. One that has sent nothing for `patience_ms`
+    /// is skipped.
     ///
-    /// The load pattern: every process that calls the store by itself costs as many calls as there are
-    /// hosts, most of all while the store is away and each tries again.
+    /// Matters for the number of store calls: if every process called the store itself, the calls
+    /// would grow with the number of hosts, most of all while the store is unreachable and each
+    /// process retries.
     #[must_use]
     pub fn delegates(
         &self,
@@ -170,7 +176,8 @@
         let mut delegates = Vec::new();
         let mut vacated = Time::ZERO;
         for contender in ranked {
-            // The next in line has not spoken as a delegate does before the one ahead of it was passed over.
+            // A candidate acts as a delegate only once the one ranked before it was skipped, so its
+            // timeout starts no earlier than that.
             let limit = contender.said.max(vacated).after(patience_ms);
             if now > limit {
                 vacated = limit;
@@ -184,7 +191,7 @@
         delegates
     }
 
-    /// Drops words that do not count any more.
+    /// Removes states that are no longer valid.
     pub fn expire(&mut self, now: Time) {
         let counted_ms = self.counted_ms();
         self.words.retain(|_, word| now.since(word.said) <= counted_ms);
