--- a/crates/nutmegkeel_core/tests/l4/balancer.rs
+++ b/crates/nutmegkeel_core/tests/l4/balancer.rs
@@ -38,9 +38,10 @@
     assert_ne!(copy, first);
 }
 
-/// A feed breaks off with a reset while its backend server serves. Two agents refused its opening
-/// for want of a slot, one of them took it when asked again, and a copy that another agent took moved
-/// the balancer's note there. The search for the flow then left out whoever had refused the opening.
+/// Guards against an open flow that is reset while its backend server is alive. An agent that
+/// refused the opening for lack of a slot accepts it when asked again, and a copy moves the
+/// balancer's cache entry to another agent. The search must not leave out agents that refused the
+/// opening.
 #[test]
 fn an_agent_that_refused_an_opening_is_asked_for_the_flow() {
     let mut balancer = balancer(&[1, 2]);
@@ -75,8 +76,8 @@
     assert!(actions.contains(&Action::Reset { flow: flow(1), seq: 500 }), "{actions:?}");
 }
 
-/// A feed breaks off with a reset during a planned restart. Its agent's process is being replaced, a
-/// balancer that does not know the flow asks all others, and nobody else holds it.
+/// Guards against a reset during a planned restart: the agent that holds the flow is being
+/// replaced, and all other agents report that they do not hold it.
 #[test]
 fn a_flow_is_not_reset_while_an_agent_restarts() {
     let mut balancer = balancer(&[1, 2]);
@@ -91,8 +92,8 @@
     assert!(!resets(&actions), "{actions:?}");
 }
 
-/// A feed hangs until its client's own timeout although its agent is dead: the client has sent its
-/// request and waits, so nothing of it arrives that could be answered with a reset.
+/// Guards against a client that waits for its own timeout although its agent is dead. It has sent
+/// its request and sends no further packet that a reset could answer.
 #[test]
 fn clients_of_a_dead_agent_are_told_without_asking() {
     let mut balancer = balancer(&[1, 2, 3]);
@@ -107,8 +108,8 @@
     assert!(actions.contains(&Action::Reset { flow: flow(1), seq: 500 }), "{actions:?}");
 }
 
-/// Feeds of healthy servers break off when another host dies. Their balancer was just asking the
-/// dead agent for them, and took the answer that never came for the flow's place.
+/// Guards against flows of live servers that are reset when another host dies. The balancer had
+/// only asked the dead agent for the flow and must not take that for the flow's location.
 #[test]
 fn a_flow_that_was_only_asked_for_at_a_dead_agent_is_kept() {
     let mut balancer = balancer(&[1, 2, 3]);
@@ -122,8 +123,8 @@
     assert!(!resets(&actions), "{actions:?}");
 }
 
-/// All feeds of a balancer break off after its host stood still for three seconds: it has heard no
-/// announcement, and takes every agent for dead.
+/// Guards against resetting all flows of a balancer whose host was stalled for three seconds. It
+/// received no announcements in that time and would take every agent for dead.
 #[test]
 fn a_balancer_that_stood_still_takes_nobody_for_dead() {
     let mut balancer = balancer(&[1, 2, 3]);
@@ -136,9 +137,9 @@
     assert!(!resets(&actions), "{actions:?}");
 }
 
-/// After a loss of power a client waits for the answer on a flow that no longer exists. Its packet
-/// came while agents were still appearing, and its next copy comes 1.6 s later. The balancer tells it
-/// as soon as all agents have answered.
+/// Guards against a client that waits on a lost flow after a power loss. Its packet arrives while
+/// agents are still appearing, and its next copy follows only after 1.6 s. The balancer must reset
+/// the flow as soon as all agents have answered.
 #[test]
 fn a_client_that_waits_is_told_once_the_agents_are_known() {
     let mut balancer = balancer(&[]);
@@ -179,8 +180,8 @@
     assert_eq!(insistences, expected);
 }
 
-/// Openings that waited at one agent until their clients gave up were passed on to the next, which
-/// gave its slots to clients that had gone: the system stayed overloaded long after a burst.
+/// Guards against openings that waited at one agent until their clients gave up and are then
+/// offered to the next one, which wastes its slots: the fleet stays overloaded long after a burst.
 #[test]
 fn an_opening_is_not_passed_on_when_its_client_has_given_up() {
     let mut balancer = balancer(&[1, 2, 3]);
@@ -195,8 +196,8 @@
     assert!(resets(&actions), "{actions:?}");
 }
 
-/// A client whose copy of an opening was accepted elsewhere loses that flow, because the balancer of
-/// the first copy refuses it with a number that the open flow accepts.
+/// Guards against a reset that closes a flow which a copy of the same opening has opened elsewhere.
+/// The reset by the balancer of the first copy must not carry a number that the open flow accepts.
 #[test]
 fn a_refused_opening_is_reset_with_a_number_that_no_open_flow_has() {
     let mut balancer = balancer(&[1]);
@@ -275,8 +276,8 @@
     assert!(!balancer.is_ready(at(6_000)));
 }
 
-/// Filings are answered 600 ms late whenever a server is added at high load: the balancer let openings
-/// that found two busy agents wait for a copy, as it does after a loss of power.
+/// Guards against answers that are 600 ms late whenever a server is added at high load, because an
+/// opening that found two busy agents waits for its copy, as it does after a power loss.
 #[test]
 fn an_opening_does_not_wait_for_a_copy_when_one_agent_is_added() {
     let mut balancer = balancer(&[1, 2]);
@@ -292,8 +293,8 @@
     assert!(third.is_some());
 }
 
-/// A balancer asked for one flow 40 times in five seconds: the agent had said that it holds the flow,
-/// but the note that its client waits for a decision stayed, and each look began the search anew.
+/// Guards against repeated searches for a flow whose agent has answered. The entry that the client
+/// waits for a decision stayed, so each review restarted the search.
 #[test]
 fn a_flow_that_was_found_is_not_searched_again() {
     let mut balancer = balancer(&[]);
@@ -314,9 +315,9 @@
     assert_eq!(forwarded(&next), Some(host(1)));
 }
 
-/// A feed breaks off with a reset while its server serves. Its balancer had just started, and the
-/// flow's agent had not learnt of it yet; the other agents held nothing. Other balancers knew more
-/// agents.
+/// Guards against a reset of a flow whose server is alive, by a balancer that has just started. The
+/// flow's agent does not know it yet, and the agents that do know it hold nothing; but another
+/// balancer knows more agents.
 #[test]
 fn a_balancer_that_hears_of_fewer_agents_than_others_resets_nothing() {
     let mut balancer = balancer(&[1]);
@@ -331,8 +332,9 @@
     assert!(!resets(&actions), "{actions:?}");
 }
 
-/// The store is down for longer than agents remember balancers that nobody speaks of. Agents whose
-/// view agrees with that of the balancers heard nothing from them, dropped them all and fell silent.
+/// Guards against agents that remove all balancers and stop announcing themselves when the store is
+/// down for longer than they keep balancers. An agent with the same view as the balancers got no
+/// message from them.
 #[test]
 fn agents_that_know_all_balancers_are_told_again() {
     let mut balancer = balancer(&[1]);
@@ -350,8 +352,8 @@
     assert!(told(later));
 }
 
-/// A balancer asks for flows of clients that are long gone, for as long as an agent that may hold them
-/// does not answer.
+/// Guards against searches for flows whose clients have given up long ago, for as long as an agent
+/// that may hold them does not answer.
 #[test]
 fn a_client_that_waited_too_long_is_given_up() {
     let mut balancer = balancer(&[1]);
@@ -372,8 +374,8 @@
     assert_eq!(asked, 0);
 }
 
-/// A client of a lost flow waits a whole second more, for the next search: one agent of all was not
-/// sure when it was asked, and is a few ticks later.
+/// Guards against a client of a lost flow that waits a second for the next search, because one
+/// agent could not decide when it was asked but can a few ticks later.
 #[test]
 fn an_agent_that_did_not_answer_is_asked_again_soon() {
     let mut balancer = balancer(&[1]);
@@ -390,8 +392,9 @@
     assert!(told.contains(&Action::Reset { flow: flow(1), seq: 500 }), "{told:?}");
 }
 
-/// Status checks hang for 200 to 600 ms after a restart: the balancer had no configuration for a few
-/// milliseconds, dropped what came, and clients send their copies ever more rarely.
+/// Guards against requests that wait for 200 to 600 ms after a restart. The balancer lacks a
+/// configuration for a few milliseconds only, and clients send copies of dropped packets at growing
+/// intervals.
 #[test]
 fn a_packet_that_came_before_the_configuration_is_handled_with_it() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
@@ -408,7 +411,7 @@
     assert_eq!(forwarded(&again), Some(host(1)));
 }
 
-/// A kept packet must not be forgotten: when nothing changes any more, its client still gets an answer.
+/// Guards against a kept packet that is never answered because nothing changes any more.
 #[test]
 fn a_kept_opening_is_answered_in_the_end() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
@@ -425,8 +428,8 @@
     assert!(resets(&answered), "{answered:?}");
 }
 
-/// Hosts come back one after the other after a loss of power, and all clients at once. Openings were held
-/// until all hosts were back, went to agents in one moment, and nobody among them was answered in time.
+/// Guards against openings that are held after a power loss until all hosts are back: they reach
+/// the agents together, and none is answered in time.
 #[test]
 fn openings_are_placed_at_once_while_servers_come_back() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
@@ -449,8 +452,8 @@
     assert!(next.iter().all(|agent| *agent == Some(host(2))), "{next:?}");
 }
 
-/// Servers idle for 300 ms after a mass restart: balancers behind slow links wait for a large
-/// configuration, while others have it and could place their packets.
+/// Guards against servers that idle for 300 ms after a mass restart, because balancers with slow
+/// links wait for a large configuration that others have.
 #[test]
 fn a_balancer_without_a_configuration_hands_packets_to_one_that_has_it() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
@@ -467,7 +470,7 @@
     assert!(relayed.contains(&Action::Forward(host(9), Message::Relay)), "{relayed:?}");
 }
 
-/// Two balancers without a configuration hand one packet to and fro for ever.
+/// Guards against two balancers without a configuration that relay a packet to each other forever.
 #[test]
 fn a_packet_is_handed_over_once() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
@@ -481,8 +484,9 @@
     assert!(actions.contains(&Action::Keep(head)), "{actions:?}");
 }
 
-/// Feeds hang for two seconds although their servers live: the whole fleet was killed while the store was
-/// away, balancers had no configuration, and kept every packet until one came.
+/// Guards against open flows that hang for two seconds although their servers are alive. The whole
+/// fleet restarted while the store was unreachable, and balancers kept every packet until a
+/// configuration arrived.
 #[test]
 fn a_packet_of_an_open_flow_needs_no_configuration() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
@@ -508,8 +512,8 @@
     );
 }
 
-/// A feed breaks off with a reset while its server serves: a balancer that had just started, without a
-/// configuration, took the word of the agents that it knew for that of all.
+/// Guards against a reset of a flow whose server is alive, by a balancer that has just started
+/// without a configuration and does not know all agents yet.
 #[test]
 fn a_balancer_without_a_configuration_resets_nothing_that_it_does_not_find() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
@@ -525,7 +529,7 @@
     assert!(exhausted.contains(&Action::Keep(head)), "{exhausted:?}");
 }
 
-/// Switched off, packets of open flows wait for a configuration like openings.
+/// Without the mechanism, packets of open flows wait for a configuration like openings.
 #[test]
 fn without_the_mechanism_packets_wait_for_a_configuration() {
     let policy = Policy::without([Mechanism::Unrouted]);
--- a/crates/nutmegkeel_core/tests/l4/delegate.rs
+++ b/crates/nutmegkeel_core/tests/l4/delegate.rs
@@ -1,4 +1,4 @@
-//! Which balancers act for their failure domain towards the store, and how lists of flows reach it.
+//! Balancers that act for their failure domain towards the store, and how lists of flows are saved.
 
 use std::net::Ipv4Addr;
 
@@ -15,24 +15,24 @@
     identity, open, resets, roster, table,
 };
 
-/// Pause between two ticks of the balancers here, in milliseconds.
+/// Pause between two ticks of the balancers, in milliseconds.
 const TICK_MS: usize = 500;
 
-/// Agents of a failure domain in which lists are gathered.
+/// Number of agents of a failure domain in which lists are collected.
 const MANY: u64 = 20;
 
 fn balancer(number: u8) -> Balancer {
     Balancer::open(at(0), identity(host(number), Policy::default()), &[])
 }
 
-/// Balancers 1 to `count` of one failure domain that have all heard of each other.
+/// Balancers 1 to `count` of one failure domain that have all received each other's state.
 fn domain(count: u8) -> Vec<Balancer> {
     let mut balancers: Vec<_> = (1..=count).map(balancer).collect();
     gossip(&mut balancers, 0..=0, &[]);
     balancers
 }
 
-/// Lets each balancer speak to all others in each of these milliseconds, but for those that are silent.
+/// Delivers the state of each balancer, except silent ones, to all others at each of these times.
 fn gossip(balancers: &mut [Balancer], times: std::ops::RangeInclusive<u64>, silent: &[u8]) {
     for millis in times.step_by(TICK_MS) {
         for speaker in numbers(balancers).filter(|speaker| !silent.contains(speaker)) {
@@ -68,8 +68,8 @@
     assert!(balancer.watches(at(0)));
 }
 
-/// A change of the configuration is not seen for good: both balancers that watched died, and the others
-/// go on waiting for their word.
+/// Guards against changes of the configuration that are never seen, because both watching balancers
+/// died and the others keep waiting for their messages.
 #[test]
 fn others_watch_when_both_watchers_fall_silent() {
     let mut balancers = domain(12);
@@ -82,7 +82,7 @@
     assert_eq!(alive.len(), DELEGATES, "{dead:?} {later:?}");
 }
 
-/// Lets balancers speak by themselves, so that words reach whom they are sent to; those of `dead` say nothing.
+/// Lets balancers send by themselves and delivers their states. Those of `dead` send nothing.
 fn speak(balancers: &mut [Balancer], times: std::ops::RangeInclusive<u64>, dead: &[u8]) {
     for millis in times.step_by(TICK_MS) {
         for speaker in numbers(balancers).filter(|speaker| !dead.contains(speaker)) {
@@ -97,8 +97,8 @@
     }
 }
 
-/// Guards against a failure domain of sixty balancers that nobody watches for: each hears each other one only
-/// every four seconds, and both delegates have died.
+/// Guards against a failure domain of sixty balancers that none watches for: both delegates have
+/// died, and each balancer receives the state of each other one only every four seconds.
 #[test]
 fn a_large_failure_domain_replaces_dead_delegates_within_three_seconds() {
     let mut balancers = domain(60);
@@ -113,8 +113,8 @@
     assert_eq!(alive.len(), DELEGATES, "{dead:?} {later:?}");
 }
 
-/// The store turns just the two hosts away that watch for their failure domain. They say so, and others
-/// take over with their next look.
+/// The store is unreachable for just the two watching hosts of a failure domain. They report it,
+/// and others take over when they next check.
 #[test]
 fn others_watch_when_the_store_turns_the_watchers_away() {
     let mut balancers = domain(12);
@@ -133,7 +133,8 @@
     assert!(later.iter().all(|number| !refused.contains(number)), "{refused:?} {later:?}");
 }
 
-/// While the store is away for all, two of each failure domain go on asking, not all.
+/// While the store is unreachable for all, two balancers of each failure domain go on calling it,
+/// not all.
 #[test]
 fn two_go_on_asking_while_the_store_answers_nobody() {
     let mut words = Words::default();
@@ -157,7 +158,8 @@
     assert_eq!(delegates, Vec::<Ipv4Addr>::new());
 }
 
-/// A new configuration reaches those who do not watch with the next datagram, not with the next round.
+/// Balancers that do not watch learn of a new configuration with the next datagram, not with the
+/// next round of gossip.
 #[test]
 fn a_new_configuration_is_told_to_the_whole_failure_domain_at_once() {
     let mut balancers = domain(12);
@@ -168,8 +170,8 @@
     assert_eq!(rosters(&told).iter().filter(|(_, word)| word.version == 3).count(), 11);
 }
 
-/// Clients of lost flows wait for seconds after a server was taken away: a balancer of another failure domain,
-/// which speaks only each few seconds, had said that it hears of one agent more.
+/// Guards against clients of lost flows that wait for seconds after a server was removed. A
+/// balancer of another failure domain sends only every few seconds and had reported one agent more.
 #[test]
 fn an_old_count_of_agents_does_not_delay_resets() {
     let mut balancer = fixture::balancer(&[1, 2]);
@@ -191,8 +193,8 @@
     assert!(resets(&actions), "{actions:?}");
 }
 
-/// Answers with all addresses go to and fro for seconds after a balancer has died, because one side has
-/// not dropped it yet: one answer for each view is enough, and another when the first may have been lost.
+/// Guards against balancers that exchange address lists for seconds after a balancer died, because
+/// one side has not removed it yet. One list per view is enough, and another in case it was lost.
 #[test]
 fn views_that_differ_are_told_rarely() {
     let mut balancer = balancer(1);
@@ -247,7 +249,7 @@
     assert_eq!(committed(&actions).map(|lists| lists.len()), Some(16));
 }
 
-/// An older list came late, by a way that was held up, and must not be written in the newer one's place.
+/// Guards against an older list that arrives late and is saved in place of a newer one.
 #[test]
 fn a_newer_list_that_waits_is_kept() {
     let mut balancer = balancer(1);
@@ -275,8 +277,8 @@
     })
 }
 
-/// A list is lost because the balancer that had it died before it wrote. The agent turns to the second,
-/// and when that is silent too writes by itself.
+/// Guards against a list that is lost because a balancer dies before it saves it. The agent sends
+/// it to the second delegate, and saves it itself if that is silent too.
 #[test]
 fn a_list_finds_its_way_past_silent_balancers() {
     let mut handover = Handover::default();
@@ -307,7 +309,8 @@
     assert_eq!(handover.step(at(9_000), &[host(1)], true, MANY), None);
 }
 
-/// Lists of busy servers never reach the store: they do not fit into a datagram, and no balancer answers.
+/// Guards against lists of busy servers that are never saved: they do not fit into a datagram, so
+/// no balancer answers.
 #[test]
 fn a_list_too_long_for_a_datagram_is_written_at_once() {
     let flows = (0..=80).map(|port| (flow(port), 1)).collect();
@@ -320,7 +323,8 @@
     assert_eq!(step, Some(Step::Write(list)));
 }
 
-/// While the store is away every agent would go on trying by itself, and each try is priced.
+/// Guards against billed calls of every agent that retries by itself while the store is
+/// unreachable.
 #[test]
 fn a_list_waits_while_the_store_answers_no_balancer() {
     let mut handover = Handover::default();
@@ -334,8 +338,8 @@
     assert_eq!(back, Some(Step::Deposit(host(1), list(1))));
 }
 
-/// Lists of a host whose time of day was set back are never written: those of its predecessor have higher
-/// numbers.
+/// Guards against lists that are never saved after the host's clock was set back, because the lists
+/// of the previous process have higher numbers.
 #[test]
 fn a_list_gets_a_number_behind_the_one_that_is_there() {
     let mut handover = Handover::default();
@@ -350,7 +354,8 @@
     );
 }
 
-/// An agent that knows a balancer of its failure domain hands its list to it and makes no call of its own.
+/// An agent that knows a balancer of its failure domain sends its list to it and makes no store
+/// call of its own.
 #[test]
 fn an_agent_hands_its_list_to_a_balancer() {
     let mut agent = agent();
@@ -367,8 +372,9 @@
     assert!(!actions.iter().any(|action| matches!(action, agent::Action::Save(_))));
 }
 
-/// Clients of a small deployment wait in silence after a loss of power: their lists had been on the way to
-/// a balancer that was killed, which would have written each of them alone anyway.
+/// Guards against clients of a small deployment that get no answer after a power loss: their lists
+/// had been sent to a balancer that was killed, and that would have saved each of them alone
+/// anyway.
 #[test]
 fn lists_of_few_agents_are_written_by_themselves() {
     let delegates = [host(1), host(2)];
@@ -395,7 +401,8 @@
     assert_eq!(back, Some(Step::Write(list(1))));
 }
 
-/// An agent knows how many agents its failure domain has by what balancers of all domains say.
+/// An agent determines the number of agents in its failure domain from the states of balancers of
+/// all domains.
 #[test]
 fn an_agent_of_a_small_domain_writes_its_list() {
     let mut agent = agent();
@@ -413,8 +420,8 @@
     assert!(actions.iter().any(saves), "{actions:?}");
 }
 
-/// A second change within a moment is in force half a second later in a whole failure domain: both
-/// delegates heard of the first one together and paused for as long.
+/// Guards against a second change that takes effect half a second late in a whole failure domain,
+/// because both delegates received the first one together and paused for the same time.
 #[test]
 fn two_delegates_that_heard_together_watch_again_in_turns() {
     let waited_ms = 5_000;
--- a/crates/nutmegkeel_core/tests/l4/fetch.rs
+++ b/crates/nutmegkeel_core/tests/l4/fetch.rs
@@ -1,4 +1,4 @@
-//! From whom a process fetches a configuration, and when.
+//! When and from which process a process fetches a configuration.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -9,10 +9,10 @@
 const FIRST: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 const SECOND: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 2);
 
-/// Askers of a failure domain spread over less than this, in milliseconds.
+/// Upper bound of the time over which requests of a failure domain spread, in milliseconds.
 const SPREAD_MS: u64 = 50;
 
-/// A hung call costs no more than this, in milliseconds.
+/// Upper bound of the time lost by a hung call, in milliseconds.
 const DOUBT_MS: u64 = 300;
 
 fn at(millis: u64) -> Time {
@@ -27,14 +27,15 @@
     Holder { address, version }
 }
 
-/// The next call from `since` on, with its time in milliseconds; none if there is none within a second.
+/// Returns the next call from `since` on, with its time in milliseconds; none if there is none
+/// within a second.
 fn call(plan: &mut Plan, since: u64) -> Option<(u64, Ipv4Addr)> {
     (since..since + 1_000).find_map(|millis| plan.next(at(millis)).map(|from| (millis, from)))
 }
 
-/// A delegate told all of its failure domain of a configuration, and forty processes asked it in the same
-/// millisecond: connections hung, and some had the configuration a second later. They must come one after the
-/// other, and part between the two delegates that have it.
+/// Guards against connections that hang because forty processes request a configuration from one
+/// delegate in the same millisecond. Requests must spread over time and over both delegates that
+/// have it.
 #[test]
 fn the_askers_of_a_failure_domain_spread_over_time_and_delegates() {
     let mut times = BTreeSet::new();
@@ -54,8 +55,8 @@
     assert!((10..30).contains(&of_first), "{of_first} of 40 asked the first");
 }
 
-/// The connection to the one delegate hung, and the process waited for it until its timeout although the
-/// other delegate had the same text. The other is asked soon, and its answer ends the search.
+/// Guards against a process that waits until its timeout for a hung connection, although the other
+/// delegate has the same configuration.
 #[test]
 fn a_second_holder_is_asked_soon_when_the_first_is_silent() {
     let mut plan = asker(1);
@@ -71,7 +72,8 @@
     assert_eq!(call(&mut plan, second_at + 5), None);
 }
 
-/// Only one process has the configuration, and the connection to it hung: a fresh one may not.
+/// Only one process has the configuration and the connection to it hangs: a new connection may
+/// work.
 #[test]
 fn the_only_holder_is_asked_again_on_another_connection() {
     let mut plan = asker(1);
@@ -85,8 +87,9 @@
     assert_eq!(call(&mut plan, second_at), None, "two calls are under way at most");
 }
 
-/// Both delegates tell of a change in the same moment. One text is enough: a second fetch of the same one
-/// only keeps a narrow link busy. Of a newer one the process hears while it fetches, and asks at once.
+/// Guards against fetching the same configuration twice when both delegates report it at once,
+/// which would load a slow link. A newer one that is reported during the fetch is requested at
+/// once.
 #[test]
 fn an_answer_serves_for_all_that_told_of_it_and_not_for_newer_ones() {
     let mut plan = asker(1);
@@ -104,8 +107,8 @@
     assert_eq!(call(&mut plan, asked + 5), Some((asked + 5, SECOND)));
 }
 
-/// A holder refuses the connection because it is stopping: the other one is asked at once, and one that
-/// refused is not asked until it says again that it has something newer.
+/// A holder that is stopping refuses the connection. The other one is called at once, and the first
+/// not before it reports a newer version again.
 #[test]
 fn a_refused_call_leads_to_the_other_holder_at_once() {
     let mut plan = asker(1);
@@ -124,7 +127,7 @@
     assert!(call(&mut plan, again + 2).is_some());
 }
 
-/// The text came from the store while a process waited for its turn to ask: it needs to ask nobody.
+/// A process that got the configuration from the store before its call was due calls nobody.
 #[test]
 fn what_came_another_way_is_not_asked_for() {
     let mut plan = asker(1);
@@ -137,8 +140,8 @@
     assert_eq!(call(&mut plan, 0), None);
 }
 
-/// A holder says that it has a version and serves an older text. Called again at once for as long as it says so,
-/// it and its narrow link would be kept busy for nothing.
+/// Guards against repeated calls to a holder that reports a version but serves an older one, which
+/// would keep it and its slow link busy.
 #[test]
 fn a_holder_that_brings_nothing_new_is_not_called_again_at_once() {
     let mut plan = asker(1);
--- a/crates/nutmegkeel_core/tests/l4/introduction.rs
+++ b/crates/nutmegkeel_core/tests/l4/introduction.rs
@@ -1,4 +1,4 @@
-//! How the processes of a fleet that starts as a whole get to know each other.
+//! How the processes of a fleet that starts as a whole discover each other.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
@@ -9,10 +9,10 @@
 
 use crate::fixture::{BALANCER, at, host, identity, roster, word};
 
-/// Balancers that know their seeds only, and what they have sent.
+/// Balancers that know only their seeds, and what they have sent.
 struct Fleet {
     balancers: BTreeMap<Ipv4Addr, Balancer>,
-    /// Addresses sent in lists, by sender.
+    /// Number of addresses sent in lists, by sender.
     addresses: BTreeMap<Ipv4Addr, usize>,
 }
 
@@ -26,7 +26,7 @@
         Self { balancers: (1..=count).map(open).collect(), addresses: BTreeMap::new() }
     }
 
-    /// Lets all tick until `until_ms`; words arrive at once.
+    /// Lets all balancers tick until `until_ms`; messages arrive at once.
     fn run(&mut self, until_ms: u64) {
         let pause = usize::try_from(TICK_MS).expect("a short pause");
         for now in (0..=until_ms).step_by(pause) {
@@ -61,7 +61,7 @@
         self.balancers.values().map(|balancer| balancer.peers().len()).min().unwrap_or_default()
     }
 
-    /// Lists of all addresses that a balancer sent at most.
+    /// Largest number of lists of all addresses that one balancer sent.
     fn most_lists(&self) -> usize {
         self.addresses.values().max().copied().unwrap_or_default().div_ceil(self.balancers.len())
     }
@@ -75,8 +75,8 @@
     actions.into_iter().filter_map(word).collect()
 }
 
-/// Guards against a start that fills the links with addresses: a list for each pair grows with the square of the
-/// fleet.
+/// Guards against address lists that fill the links when a fleet starts: one list per pair grows
+/// with the square of the fleet's size.
 #[test]
 fn balancers_that_start_together_know_each_other_after_few_lists() {
     for count in [30, 60, 120] {
@@ -89,8 +89,8 @@
     }
 }
 
-/// Guards against a loss of power after which every balancer hands all addresses to every agent: the links carry
-/// lists while clients wait.
+/// Guards against a power loss after which every balancer sends all addresses to every agent and
+/// fills the links while clients wait.
 #[test]
 fn agents_that_start_together_are_all_answered_but_few_with_lists() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
@@ -111,8 +111,8 @@
     assert!((1..=20).contains(&lists), "{lists} lists");
 }
 
-/// Guards against balancers that start together and find each other late: the first word of one came before the
-/// other listened.
+/// Guards against balancers that start together and discover each other late, because one sent its
+/// first message before the other listened.
 #[test]
 fn a_young_balancer_speaks_again_to_those_that_have_not_answered() {
     let mut balancer =
@@ -130,8 +130,9 @@
     assert!((10..=21).contains(&told.len()), "{} words", told.len());
 }
 
-/// Guards against an agent that never hears of a new balancer, whose searches then miss it: agents speak in one order
-/// all the time, balancers come and go, and those who speak first took all the lists.
+/// Guards against an agent that never learns of a new balancer, so that searches of that balancer
+/// miss it: agents always announce themselves in the same order, and those that do so first got all
+/// the lists.
 #[test]
 fn no_agent_is_left_without_a_list_because_others_speak_before_it() {
     let open = |number| Balancer::open(at(0), identity(host(number), Policy::default()), &[]);
--- a/crates/nutmegkeel_core/tests/l4/search.rs
+++ b/crates/nutmegkeel_core/tests/l4/search.rs
@@ -1,4 +1,4 @@
-//! Searches for the agent of a flow in a fleet whose failure domains are far from each other.
+//! Searches for the agent of a flow in a fleet with slow links between its failure domains.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -11,48 +11,48 @@
 
 use crate::fixture::{BALANCER, PORT, at, data, desk, flow, host, identity, table, word};
 
-/// Agents of the balancer's own failure domain, and of all others.
+/// Number of agents in the balancer's own failure domain, and in all domains.
 const NEAR: u8 = 12;
 const AGENTS: u8 = 60;
 
-/// A question and its answer take so long within a failure domain and between two, in milliseconds.
+/// Round-trip time within a failure domain and between two, in milliseconds.
 const NEAR_MS: u64 = 1;
 const FAR_MS: u64 = 11;
 
-/// An answer within this is in time, in milliseconds.
+/// Time within which an answer is in time, in milliseconds.
 const OBJECTIVE_MS: u64 = 250;
 
-/// What an agent knows of the flow.
+/// How an agent answers queries for the flow.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Knowledge {
-    /// That its server does not hold it.
+    /// It reports that its server does not hold the flow.
     Absent,
-    /// Nothing: only its server, asked with a packet, knows.
+    /// It does not know. Its server, asked with a packet, denies the flow.
     Unsure,
-    /// The same, or it has an opening only; and its server takes the packet.
+    /// It does not know, or has only an opening. Its server, asked with a packet, accepts it.
     Holder,
-    /// It is cut off, and its last announcement was a moment ago.
+    /// It does not answer: it was cut off right after its last announcement.
     Mute,
 }
 
-/// A balancer, its agents, and the answers that are on their way.
+/// A balancer, its agents, and the answers in transit.
 struct Fleet {
     balancer: Balancer,
     now: u64,
     knowledge: BTreeMap<Ipv4Addr, Knowledge>,
     answers: BTreeMap<(u64, usize), Event>,
     kept: BTreeMap<Flow, Head>,
-    /// Agents that were asked, when, and whether with the packet.
+    /// Agents that were asked, with the time and whether they got the packet.
     asked: Vec<(u64, Ipv4Addr, bool)>,
-    /// When the client was told that its flow is gone, and when an agent said that it holds it.
+    /// When the flow was reset, and when an agent reported that it holds it.
     told: Option<u64>,
     found: Option<u64>,
-    /// Agents that are restarted, one with each announcement.
+    /// Agents to restart, one with each announcement.
     restarted: Vec<Ipv4Addr>,
 }
 
 impl Fleet {
-    /// A balancer that has looked for another flow, and so knows how long agents take to answer.
+    /// A balancer that has searched for another flow, so that it knows the answer time of agents.
     fn open(policy: Policy, agents: u8) -> Self {
         let mut balancer = Balancer::open(at(0), identity(BALANCER, policy), &[]);
         balancer.handle(at(0), Event::Ordered(Orders::default()));
@@ -73,7 +73,7 @@
         fleet
     }
 
-    /// Lets a client send a packet of a flow, again and again; returns how long it took until it was told.
+    /// Lets a client send a packet of a flow repeatedly. Returns the time until the flow was reset.
     fn search(&mut self, packet: Head, for_ms: u64) -> Option<u64> {
         (self.told, self.found) = (None, None);
         self.asked.clear();
@@ -168,7 +168,8 @@
         self.answers.insert((self.now + round_ms, self.asked.len()), answer);
     }
 
-    /// Agents that had the packet at the same moment at most, as far as they were not sure.
+    /// Largest number of agents that got the packet at the same time and could not deny the flow
+    /// without it.
     fn most_packets_at_once(&self) -> usize {
         let mut most = BTreeMap::new();
         for (now, agent, _) in self.asked.iter().filter(|(.., packet)| *packet) {
@@ -184,9 +185,8 @@
     data(flow(port), 1_001, 500)
 }
 
-/// After a loss of power a clerk's request on a flow that is gone fails, or is answered seconds late,
-/// though its client would come back at once if it were told. The balancer asks 60 agents one after the
-/// other, 11 ms each.
+/// Guards against a request on a lost flow that fails or is answered seconds late after a power
+/// loss, because the balancer asks 60 agents one by one, 11 ms each, before it resets the flow.
 #[test]
 fn a_client_of_a_lost_flow_is_told_while_there_is_time_for_another_try() {
     let mut fleet = Fleet::open(Policy::default(), AGENTS);
@@ -200,8 +200,8 @@
     assert!(narrow.is_none_or(|told| told > OBJECTIVE_MS), "{narrow:?}");
 }
 
-/// An agent far away has started again beside a server that lives, and only the server knows the flow. It
-/// must be found by the packet, and servers must not get the packet all at once.
+/// An agent in another failure domain has restarted next to a live server, and only the server
+/// knows the flow. The packet must find it without reaching several servers at once.
 #[test]
 fn an_agent_that_is_not_sure_is_asked_with_the_packet() {
     let mut fleet = Fleet::open(Policy::default(), AGENTS);
@@ -216,7 +216,7 @@
     assert_eq!(fleet.most_packets_at_once(), 1);
 }
 
-/// A client is told that its flow is gone while the one agent that does not answer may hold it.
+/// Guards against a reset while an agent that does not answer may hold the flow.
 #[test]
 fn an_agent_that_does_not_answer_is_not_ruled_out() {
     let mut fleet = Fleet::open(Policy::default(), AGENTS);
@@ -227,8 +227,9 @@
     assert_eq!(told, None);
 }
 
-/// Guards against clients of lost flows that wait for their deadline in a large fleet, where some agent is
-/// restarted at any time: each new process made the balancer doubt that it knows all others.
+/// Guards against clients of lost flows that wait until their deadline in a large fleet, where some
+/// agent restarts at any time and each new process made the balancer assume that others are
+/// unknown.
 #[test]
 fn a_client_of_a_lost_flow_is_told_while_agents_are_restarted_one_by_one() {
     let mut fleet = Fleet::open(Policy::default(), 200);
@@ -240,8 +241,8 @@
     assert!(told.is_some_and(|told| told <= OBJECTIVE_MS), "{told:?}");
 }
 
-/// Where one after the other is soon enough, nobody is asked in vain: a flow that has moved to another
-/// balancer is found with the first questions.
+/// Where asking agents one by one is fast enough, no needless queries are sent: a flow that has
+/// moved to another balancer is found with the first ones.
 #[test]
 fn a_small_fleet_is_asked_one_by_one() {
     let mut fleet = Fleet::open(Policy::default(), NEAR);
--- a/crates/nutmegkeel_core/tests/l4/summary.rs
+++ b/crates/nutmegkeel_core/tests/l4/summary.rs
@@ -1,4 +1,4 @@
-//! What balancers of different failure domains tell each other of their agents.
+//! Summaries of agents that balancers of different failure domains exchange.
 
 use std::net::Ipv4Addr;
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// A pool of a balancer in the own failure domain.
+/// A pool of a balancer in [`DOMAIN`].
 fn pool() -> Pool {
     Pool::open(DOMAIN.into())
 }
@@ -43,7 +43,7 @@
     Summary { domain: FAR.into(), services: vec![desk()], reports, passed_on: false }
 }
 
-/// Lets a pool hear summaries of one far agent each 300 ms; its last sign comes at `last_ms`.
+/// Sends a pool summaries of one remote agent every 300 ms. The agent was last seen at `last_ms`.
 fn summarise(pool: &mut Pool, last_ms: u64, until_ms: u64) {
     for now in (0..=until_ms).step_by(300) {
         let signed = now.min(last_ms);
@@ -62,7 +62,8 @@
     assert_eq!(pool.open_agents(at(3_200), &need(flow(1).key(), Kind::Once, &[])), 1);
 }
 
-/// An opening must not go to a dead host of another failure domain much longer than to one at home.
+/// Guards against openings that go to a dead host of another failure domain much longer than to one
+/// of the same domain.
 #[test]
 fn an_agent_that_fell_silent_is_late_and_then_given_up() {
     let mut pool = pool();
@@ -75,8 +76,8 @@
     assert_eq!((late, silent), (Some(Health::Late), Some(Health::Silent)));
 }
 
-/// All feeds to another failure domain break off with resets although its servers live: its balancers were
-/// killed at one moment, and nobody told of the agents there.
+/// Guards against resets of flows to another failure domain whose servers are alive, when all
+/// balancers there are killed at once and nobody reports its agents.
 #[test]
 fn agents_out_of_sight_get_no_flows_and_lose_none() {
     let mut pool = pool();
@@ -91,9 +92,9 @@
     assert_eq!(lost, Some(Health::Silent));
 }
 
-/// Feeds to another failure domain break off with resets although its servers live. Most balancers there had
-/// lost power, nobody told of its agents for two seconds, and the first to come back told of the few that it
-/// had heard of: the others passed for silent all the while.
+/// Guards against resets of flows to another failure domain whose servers are alive. Most balancers
+/// there had lost power, and the first one back reported only the few agents that it knew after two
+/// seconds of silence; the other agents must not be taken for silent.
 #[test]
 fn an_agent_that_a_summary_leaves_out_is_not_given_up() {
     let mut pool = pool();
@@ -108,8 +109,8 @@
     assert_eq!(pool.newly_silent(at(5_500)), Vec::<Ipv4Addr>::new());
 }
 
-/// The first word of an agent elsewhere is its own; then it speaks to the balancers there, and their first
-/// summary may come late.
+/// A remote agent first announces itself directly, then only to the balancers of its own failure
+/// domain, whose first summary may be late.
 #[test]
 fn an_agent_elsewhere_that_introduced_itself_is_not_given_up() {
     let mut pool = pool();
@@ -120,9 +121,9 @@
     assert_eq!(pool.health(at(2_500), host(1)), Some(Health::Late));
 }
 
-/// A download to another failure domain breaks off with a reset although its server lives. For a moment
-/// there was no balancer there, its agent spoke to all others itself, and then to its own again; the
-/// balancer that carried the download was being stopped and heard no summaries.
+/// Guards against a reset of a flow to another failure domain whose server is alive. Its agent
+/// announced itself directly while its domain had no balancer, and then stopped; the balancer that
+/// carries the flow was about to stop and got no summaries.
 #[test]
 fn an_agent_elsewhere_that_spoke_for_itself_is_not_given_up_when_it_stops() {
     let mut pool = pool();
@@ -137,7 +138,7 @@
     assert_eq!(pool.newly_silent(at(11_000)), Vec::<Ipv4Addr>::new());
 }
 
-/// Loads that an agent sent with an answer are newer than those of a summary that was under way.
+/// The load that an agent sends with an answer is newer than that of a summary in transit.
 #[test]
 fn a_summary_does_not_bring_an_older_load_back() {
     let mut pool = pool();
@@ -178,14 +179,16 @@
     Roster { domain: FAR.into(), ..roster(1, &[], 1) }
 }
 
-/// Balancers of one failure domain that know each other, a far balancer and one agent of theirs.
+/// Balancers of one failure domain that know each other, a remote balancer and one agent of their
+/// domain.
 fn domain(count: u8) -> Vec<Balancer> {
     let mut balancers: Vec<_> = (1..=count).map(balancer).collect();
     tell(&mut balancers, 0, &[]);
     balancers
 }
 
-/// Lets all but the silent ones speak to each other, and the agent and a far balancer to all.
+/// Delivers the states of all but the silent balancers to each other, and of the agent and a remote
+/// balancer to all.
 fn tell(balancers: &mut [Balancer], now: u64, silent: &[u8]) {
     let count = u8::try_from(balancers.len()).expect("few balancers");
     for (index, balancer) in balancers.iter_mut().enumerate() {
@@ -200,7 +203,8 @@
     }
 }
 
-/// The times at which a far balancer hears of the agent, in milliseconds, from `from_ms` on.
+/// Returns the times from `from_ms` on, in milliseconds, at which a remote balancer receives a
+/// report of the agent.
 fn heard(balancers: &mut [Balancer], from_ms: u64, until_ms: u64, silent: &[u8]) -> Vec<u64> {
     let mut times = Vec::new();
     for now in (from_ms..=until_ms).step_by(50) {
@@ -235,8 +239,8 @@
     assert!(times.len() <= 2 * 8_000 / 300 + 4, "{times:?}");
 }
 
-/// The agents of a failure domain are out of sight for others, because the balancer whose turn it was has
-/// died. The next one in turn is enough.
+/// Guards against agents that others cannot see because the balancer whose turn it is has died. The
+/// next one in turn is enough.
 #[test]
 fn a_dead_balancer_misses_its_turn_and_no_more() {
     let mut balancers = domain(12);
@@ -246,8 +250,8 @@
     assert!(longest_gap(&times) <= 350, "{times:?}");
 }
 
-/// Half of a domain's balancers are killed at once. The others go on within a second, before anybody takes
-/// the agents there for out of sight for long.
+/// Half of a domain's balancers are killed at once. The others must take over within a second,
+/// before the agents there are taken for unseen for long.
 #[test]
 fn the_rest_of_a_failure_domain_goes_on_telling() {
     let mut balancers = domain(12);
@@ -257,8 +261,8 @@
     assert!(longest_gap(&times) <= 650, "{times:?}");
 }
 
-/// Openings go to a dead host of another failure domain with their last copies too, and their clients lose a
-/// try: nobody there knew of its silence before the next summary.
+/// Guards against openings whose last copies go to a dead host of another failure domain too,
+/// because the balancers of other domains learn of its silence only with the next summary.
 #[test]
 fn a_late_agent_is_told_of_at_once() {
     let mut balancers = domain(2);
@@ -291,15 +295,15 @@
     assert_eq!(again, Vec::new());
 }
 
-/// Numbers of the reports that a balancer passes on to one other at home, if it does.
+/// Returns the numbers of the reports that a balancer forwards to one other of its domain.
 fn passed_on(balancer: &mut Balancer, now: u64, reports: Vec<Report>) -> Vec<u64> {
     let sent = summaries(&balancer.handle(at(now), Event::Summary(summary(reports))));
     let to_one = sent.iter().filter(|(to, _)| *to == host(2));
     to_one.flat_map(|(_, one)| one.reports.iter().map(|report| report.number)).collect()
 }
 
-/// Guards against links of a large failure domain that are filled by what two speakers of one slot both tell, and
-/// against an agent that passes for out of sight because what is told of it does not change.
+/// Guards against duplicate reports by two senders of one slot that fill the links of a large
+/// failure domain, and against agents taken for unseen because their reports do not change.
 #[test]
 fn what_was_told_a_moment_ago_is_not_passed_on() {
     let mut balancers = domain(3);
@@ -317,8 +321,8 @@
     assert_eq!(next_slot, [2, 7]);
 }
 
-/// A balancer that is being stopped still carries flows of other failure domains, and must go on hearing of
-/// their agents; it tells nobody of its own any more.
+/// Guards against a stopping balancer that loses track of remote agents while it still carries
+/// flows to them. It must still get summaries, but an address list with it must not add it again.
 #[test]
 fn a_leaving_balancer_goes_on_hearing_of_others() {
     let mut balancers = domain(3);
@@ -333,8 +337,8 @@
     assert!(!listed.iter().any(|action| matches!(action, Action::Send(to, _) if *to == host(2))));
 }
 
-/// All balancers of a failure domain are being stopped at once, which may take as long as downloads do. Their
-/// agents must not pass for dead meanwhile.
+/// Guards against agents taken for dead while all balancers of their failure domain are stopping,
+/// which may take as long as downloads do.
 #[test]
 fn a_leaving_balancer_goes_on_telling_of_its_agents() {
     let mut balancers = domain(2);
@@ -367,7 +371,7 @@
     actions.iter().filter_map(to).collect()
 }
 
-/// An agent that a balancer at home and a far one have spoken to.
+/// An agent that has received the states of a local and a remote balancer.
 fn acquainted() -> agent::Agent {
     let mut agent = agent();
     agent.handle(at(1), agent::Event::Roster(BALANCER, roster(1, &[], 1)));
@@ -384,7 +388,7 @@
     assert_eq!(sent, vec![BALANCER]);
 }
 
-/// A far balancer must hear at once that a server takes no more flows, or takes some again.
+/// A remote balancer must learn at once that a server stops or resumes accepting flows.
 #[test]
 fn a_change_is_told_to_all() {
     let mut agent = acquainted();
@@ -394,8 +398,8 @@
     assert_eq!(sent, vec![BALANCER, FAR_BALANCER]);
 }
 
-/// Flows of a whole failure domain are reset: all of its balancers are gone, and nobody hears its agents
-/// any more, though balancers elsewhere carry their flows.
+/// Guards against resets of all flows of a failure domain whose balancers are all gone: nobody
+/// there receives its agents' announcements, but balancers of other domains carry their flows.
 #[test]
 fn an_agent_without_balancers_at_home_speaks_to_all() {
     let mut agent = acquainted();
