--- a/crates/nutmegkeel_core/src/l4/balancer.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer.rs
@@ -1,19 +1,19 @@
 //! Decisions of a balancer for flows without a routing token.
 
-mod certainty;
 mod collector;
+mod discovery;
 mod evacuation;
 mod event;
 pub mod introductions;
 mod kept;
 mod opening;
-mod outlook;
 mod peers;
 mod queries;
 mod review;
 mod search;
 mod selection;
 mod shortage;
+mod snapshot;
 mod speed;
 pub mod summary;
 mod wide_search;
@@ -22,12 +22,12 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-use certainty::Growth;
 use collector::Collector;
+use discovery::Discovery;
 use introductions::Introductions;
 use kept::View;
-use outlook::Outlook;
-use search::{carry_to, note_declined};
+use search::{carry_to, record_declined};
+use snapshot::Snapshot;
 
 use super::cache::{Cache, Place};
 use super::evacuation::Ledger;
@@ -50,7 +50,7 @@
 
 /// Longest usual gap between two events, in milliseconds. A longer one means that the process was
 /// stalled, because announcements alone arrive more often.
-const STANDSTILL_MS: u64 = 1_000;
+const STALL_MS: u64 = 1_000;
 
 /// Pause between two checks for silent agents and for clients that wait for a decision, in
 /// milliseconds. A check iterates over all agents, so it is not done with every packet.
@@ -79,44 +79,44 @@
 pub struct Balancer {
     identity: Identity,
     table: Table,
-    ledger: Ledger,
+    latest_orders: Ledger,
     pool: Pool,
     cache: Cache,
     peers: Book,
     /// State that the other balancers last reported.
-    words: Words,
+    peer_states: Words,
     /// Whether the store answered the last call.
     reaches_store: bool,
-    growth: Growth,
-    last: Time,
-    reviewed: Time,
-    turn: usize,
+    discovery: Discovery,
+    last_event: Time,
+    reviewed_at: Time,
+    gossip_turn: usize,
     /// What each other balancer was last sent about the balancers.
-    told: BTreeMap<Ipv4Addr, Told>,
+    sent: BTreeMap<Ipv4Addr, Told>,
     introductions: Introductions,
     /// Balancers and agents that changed since the last tick.
     balancers_changed: Turnover,
     agents_changed: Turnover,
     /// Known balancers and agents, as last computed.
-    outlook: Option<Outlook>,
+    snapshot: Option<Snapshot>,
     collector: Collector,
     /// The last slot for summaries that was checked.
-    slot: u64,
+    summary_slot: u64,
     leaving: bool,
     /// Whether packets are kept until the next change.
-    keeps: bool,
+    has_kept: bool,
     /// State of the agents at the last review.
     view: View,
     /// Whether an agent has appeared, or accepts flows again, since the last review.
-    agent_came: bool,
+    agent_appeared: bool,
     /// Time that an agent takes to answer whether it holds a flow, in microseconds; zero while
     /// unknown.
-    answer_us: u64,
+    answer_time_us: u64,
     /// Whether the current event is a packet that was kept before. Keeping a packet is logged only
     /// once.
-    is_again: bool,
+    is_recalled: bool,
     /// Known shortage of room, beyond what the agents report.
-    memory: shortage::Memory,
+    shortage: shortage::Tracker,
 }
 
 impl Balancer {
@@ -139,70 +139,70 @@
         Self {
             identity,
             table: Table::default(),
-            ledger: Ledger::default(),
+            latest_orders: Ledger::default(),
             pool,
             cache: Cache::default(),
             peers,
-            words: Words::default(),
+            peer_states: Words::default(),
             reaches_store: true,
-            growth: Growth::open(now),
-            last: now,
-            reviewed: now,
-            turn: 0,
-            told: BTreeMap::new(),
+            discovery: Discovery::open(now),
+            last_event: now,
+            reviewed_at: now,
+            gossip_turn: 0,
+            sent: BTreeMap::new(),
             introductions: Introductions::open(now),
             balancers_changed: Turnover::default(),
             agents_changed: Turnover::default(),
-            outlook: None,
+            snapshot: None,
             collector: Collector::default(),
-            slot: 0,
+            summary_slot: 0,
             leaving: false,
-            keeps: false,
+            has_kept: false,
             view: View::default(),
-            agent_came: false,
-            answer_us: 0,
-            is_again: false,
-            memory: shortage::Memory::default(),
+            agent_appeared: false,
+            answer_time_us: 0,
+            is_recalled: false,
+            shortage: shortage::Tracker::default(),
         }
     }
 
     /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
-        self.notice_standstill(now);
-        let mut actions = self.take_in(now, event);
-        if now.since(self.reviewed) >= REVIEW_MS {
-            self.reviewed = now;
+        self.detect_stall(now);
+        let mut actions = self.apply(now, event);
+        if now.since(self.reviewed_at) >= REVIEW_MS {
+            self.reviewed_at = now;
             actions.extend(self.review(now));
         }
         actions
     }
 
-    fn take_in(&mut self, now: Time, event: Event) -> Vec<Action> {
+    fn apply(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
-            Event::Client(head) => self.client(now, &head),
+            Event::Client(head) => self.client_packet(now, &head),
             Event::Again(head) => {
-                self.is_again = true;
-                let actions = self.again(now, &head);
-                self.is_again = false;
+                self.is_recalled = true;
+                let actions = self.handle_packet(now, &head);
+                self.is_recalled = false;
                 actions
             }
             Event::Declined { from, head, reason, load } => {
                 self.declined(now, from, &head, reason, load)
             }
             Event::Relayed(head) if self.table.version == 0 => self.unrouted(now, &head),
-            Event::Relayed(head) => self.client(now, &head),
+            Event::Relayed(head) => self.client_packet(now, &head),
             Event::Holds { from, flow, load } => self.holds(now, from, flow, load),
             Event::Absent { from, flow, load } => self.absent(now, from, flow, load),
             Event::Unsure { from, flow, load } => self.unsure(now, from, flow, load),
-            Event::Announced(from, word) => self.announced(now, from, word),
+            Event::Announced(from, announcement) => self.announced(now, from, announcement),
             Event::Summary(summary) => self.summary(now, &summary),
-            Event::Roster(from, roster) => self.roster(now, from, &roster),
+            Event::Roster(from, roster) => self.apply_gossip(now, from, &roster),
             Event::Listed(balancers) => self.listed(now, &balancers),
             Event::Configured(table) => self.configured(now, table),
             Event::Ordered(orders) => self.ordered(now, &orders),
             Event::Store(answered) => self.store_answered(now, answered),
             Event::Deposited(from, list) => {
-                self.collector.take(now, from, list);
+                self.collector.add(now, from, list);
                 Vec::new()
             }
             Event::Committed(written) => self.committed(written),
@@ -214,25 +214,25 @@
     /// Guards against resetting the flows of all agents after this process was stalled: it received
     /// none of their announcements and would take them for dead. The length of the stall is not
     /// counted as silence of any agent.
-    fn notice_standstill(&mut self, now: Time) {
-        let gap = now.since(self.last);
-        if gap > STANDSTILL_MS {
+    fn detect_stall(&mut self, now: Time) {
+        let gap = now.since(self.last_event);
+        if gap > STALL_MS {
             self.pool.forgive(gap);
-            self.lose_certainty();
+            self.reset_discovery();
         }
-        self.last = now;
+        self.last_event = now;
     }
 
-    fn client(&mut self, now: Time, head: &Head) -> Vec<Action> {
+    fn client_packet(&mut self, now: Time, head: &Head) -> Vec<Action> {
         // A first opening begins a new flow, even if the cache has an older flow with the same
         // addresses and ports.
         if head.opens() && head.ack == 0 {
             self.cache.remove(&head.flow);
         }
-        self.again(now, head)
+        self.handle_packet(now, head)
     }
 
-    fn again(&mut self, now: Time, head: &Head) -> Vec<Action> {
+    fn handle_packet(&mut self, now: Time, head: &Head) -> Vec<Action> {
         if self.table.version == 0 {
             return self.relay(now, head);
         }
@@ -293,13 +293,13 @@
         let entry = self.cache.entry(now, head.flow);
         let current = entry.place.as_ref().map(Place::agent);
         let was_asked = entry.place == Some(Place::Asked(from));
-        let after_ms = now.since(entry.asked);
+        let after_ms = now.since(entry.asked_at);
         if reason == Reason::NotHeld {
             entry.unanswered.retain(|agent| *agent != from);
         }
         if current.is_none_or(|agent| agent == from) {
             entry.place = None;
-            note_declined(entry, from, reason);
+            record_declined(entry, from, reason);
         }
         if was_asked {
             self.learn_answer_time(after_ms);
@@ -317,16 +317,16 @@
         actions
     }
 
-    fn announced(&mut self, now: Time, from: Ipv4Addr, word: Announcement) -> Vec<Action> {
-        let is_near = word.domain == self.identity.domain;
-        let replica = word.replica;
-        let change = self.pool.announced(now, from, word);
-        self.changed(now, from, change);
+    fn announced(&mut self, now: Time, from: Ipv4Addr, announcement: Announcement) -> Vec<Action> {
+        let is_local = announcement.domain == self.identity.domain;
+        let replica = announcement.replica;
+        let change = self.pool.announced(now, from, announcement);
+        self.agent_changed(now, from, change);
         let mut actions = Vec::new();
         if replica > self.table.version && self.identity.policy.uses(Mechanism::Replicas) {
             actions.push(Action::Fetch(Holder { address: from, version: replica }));
         }
-        actions.extend(self.tell_agent(now, from, is_near));
+        actions.extend(self.notify_agent(now, from, is_local));
         actions
     }
 
@@ -338,15 +338,15 @@
         }
         let note = Note::InForce { version: table.version, routes: table.routes.len() };
         let is_first = self.table.version == 0;
-        self.memory.configured(&table);
+        self.shortage.configured(&table);
         self.table = table;
         let mut actions = vec![Action::Note(note)];
         if is_first {
             // Peers that still lack a configuration forward their packets here from now on.
-            let sign = self.sign(now);
-            actions.extend(self.peers.iter().map(|peer| Action::Send(peer, sign.clone())));
+            let heartbeat = self.heartbeat(now);
+            actions.extend(self.peers.iter().map(|peer| Action::Send(peer, heartbeat.clone())));
         } else {
-            actions.extend(self.tell_domain(now));
+            actions.extend(self.notify_domain(now));
         }
         actions.extend(self.recall(now));
         actions
@@ -354,15 +354,15 @@
 
     fn tick(&mut self, now: Time) -> Vec<Action> {
         self.cache.expire(now);
-        self.memory.expire(now);
+        self.shortage.expire(now);
         self.pool.forget(now);
         self.peers.expire(now);
-        self.words.expire(now);
-        self.told.retain(|peer, _| self.peers.knows(*peer));
+        self.peer_states.expire(now);
+        self.sent.retain(|peer, _| self.peers.knows(*peer));
         // Packets that have been kept too long are answered now, even though nothing has changed.
         let mut actions = self.recall(now);
-        actions.extend(self.gossip(now));
-        actions.extend(self.note_turnover());
+        actions.extend(self.send_gossip(now));
+        actions.extend(self.log_changes());
         actions
     }
 
--- a/crates/nutmegkeel_core/src/l4/balancer/collector.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/collector.rs
@@ -15,47 +15,48 @@
 use crate::l4::message::Message;
 
 /// Maximum number of lists per write: as many as one transaction takes.
-const FULL: usize = 16;
+const MAX_LISTS: usize = 16;
 
 /// Time after which a write that has not ended is ignored, in milliseconds. Its agents have used
 /// another way to save their lists by then.
-const WRITING_MS: u64 = 5_000;
+const WRITE_TIMEOUT_MS: u64 = 5_000;
 
 /// Lists that wait to be written.
 #[derive(Debug, Default)]
 pub(super) struct Collector {
     lists: BTreeMap<Ipv4Addr, Checkpoint>,
     /// When the first of these lists arrived.
-    since: Option<Time>,
+    first_at: Option<Time>,
     /// When the current write began.
-    writing: Option<Time>,
+    write_started_at: Option<Time>,
 }
 
 impl Collector {
     /// Adds a list. It replaces an older list of the same agent, but never a newer one.
-    pub(super) fn take(&mut self, now: Time, from: Ipv4Addr, list: Checkpoint) {
+    pub(super) fn add(&mut self, now: Time, from: Ipv4Addr, list: Checkpoint) {
         if self.lists.get(&from).is_some_and(|waiting| waiting.number >= list.number) {
             return;
         }
-        self.since.get_or_insert(now);
+        self.first_at.get_or_insert(now);
         self.lists.insert(from, list);
     }
 
     /// Returns the lists to write now, if a write is due. Only one write runs at a time; the next
     /// one takes all lists that arrived during it.
     pub(super) fn due(&mut self, now: Time) -> Option<Vec<(Ipv4Addr, Checkpoint)>> {
-        let is_ripe = now.since(self.since?) >= GATHER_MS || self.lists.len() >= FULL;
-        let is_writing = self.writing.is_some_and(|began| now.since(began) <= WRITING_MS);
-        if !is_ripe || is_writing {
+        let is_due = now.since(self.first_at?) >= GATHER_MS || self.lists.len() >= MAX_LISTS;
+        let is_writing =
+            self.write_started_at.is_some_and(|began| now.since(began) <= WRITE_TIMEOUT_MS);
+        if !is_due || is_writing {
             return None;
         }
-        self.since = None;
-        self.writing = Some(now);
+        self.first_at = None;
+        self.write_started_at = Some(now);
         Some(std::mem::take(&mut self.lists).into_iter().collect())
     }
 
-    fn ended(&mut self) {
-        self.writing = None;
+    fn write_ended(&mut self) {
+        self.write_started_at = None;
     }
 }
 
@@ -63,8 +64,8 @@
     /// Notifies the agents whose lists are in the store. Other agents get no answer and save their
     /// lists another way.
     pub(super) fn committed(&mut self, written: Vec<(Ipv4Addr, u64)>) -> Vec<Action> {
-        self.collector.ended();
-        let told = written.into_iter();
-        told.map(|(agent, number)| Action::Send(agent, Message::Written { number })).collect()
+        self.collector.write_ended();
+        let saved = written.into_iter();
+        saved.map(|(agent, number)| Action::Send(agent, Message::Written { number })).collect()
     }
 }
--- a/crates/nutmegkeel_core/src/l4/balancer/evacuation.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/evacuation.rs
@@ -11,27 +11,32 @@
     /// Applies orders from the store or from an agent, and forwards them to the failure domain at
     /// once.
     pub(super) fn ordered(&mut self, now: Time, orders: &Orders) -> Vec<Action> {
-        let mut actions = self.take_orders(now, orders);
+        let mut actions = self.apply_orders(now, orders);
         if !actions.is_empty() {
-            actions.extend(self.tell_domain(now));
+            actions.extend(self.notify_domain(now));
         }
         actions
     }
 
     /// Applies orders received from another balancer. Orders from another failure domain are
     /// forwarded within the own one, because the store may be unreachable for the delegates here.
-    pub(super) fn hear_orders(&mut self, now: Time, word: &Roster, orders: &Orders) -> Vec<Action> {
-        if word.domain == self.identity.domain {
-            return self.take_orders(now, orders);
+    pub(super) fn apply_peer_orders(
+        &mut self,
+        now: Time,
+        gossip: &Roster,
+        orders: &Orders,
+    ) -> Vec<Action> {
+        if gossip.domain == self.identity.domain {
+            return self.apply_orders(now, orders);
         }
         self.ordered(now, orders)
     }
 
     /// Applies orders and returns the resulting actions. Kept openings may be placeable now, unless
     /// there is no route yet.
-    fn take_orders(&mut self, now: Time, orders: &Orders) -> Vec<Action> {
-        let was_unknown = self.ledger.orders().is_none();
-        let changes = self.ledger.take(orders);
+    fn apply_orders(&mut self, now: Time, orders: &Orders) -> Vec<Action> {
+        let was_unknown = self.latest_orders.orders().is_none();
+        let changes = self.latest_orders.take(orders);
         if changes.is_empty() && !was_unknown {
             return Vec::new();
         }
--- a/crates/nutmegkeel_core/src/l4/balancer/kept.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/kept.rs
@@ -13,27 +13,27 @@
 /// Values whose change causes kept packets to be handled again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct View {
-    growing: bool,
-    settled: bool,
+    discovering: bool,
+    complete: bool,
 }
 
 impl Balancer {
     /// Recalls the kept packets once agents have stopped appearing, or all are known.
-    pub(super) fn recall_if_changed(&mut self, now: Time, settled: bool) -> Vec<Action> {
-        let view = View { growing: self.is_growing(now), settled };
+    pub(super) fn recall_if_changed(&mut self, now: Time, complete: bool) -> Vec<Action> {
+        let view = View { discovering: self.is_discovering(now), complete };
         let changed = view != self.view;
         self.view = view;
-        let changed = changed || std::mem::take(&mut self.agent_came);
+        let changed = changed || std::mem::take(&mut self.agent_appeared);
         if changed { self.recall(now) } else { Vec::new() }
     }
 
     /// Recalls the kept packets, if there are any and they may be handled now.
     pub(super) fn recall(&mut self, now: Time) -> Vec<Action> {
-        let has_routes = self.table.version > 0 || self.able(now).next().is_some();
+        let has_routes = self.table.version > 0 || self.configured_peers(now).next().is_some();
         if !has_routes && !self.identity.policy.uses(Mechanism::Unrouted) {
             return Vec::new();
         }
-        if std::mem::take(&mut self.keeps) { vec![Action::Recall] } else { Vec::new() }
+        if std::mem::take(&mut self.has_kept) { vec![Action::Recall] } else { Vec::new() }
     }
 
     /// Keeps the current packet until something changes. Logged only the first time.
@@ -41,17 +41,17 @@
         if !self.identity.policy.uses(Mechanism::KeptPackets) {
             return Vec::new();
         }
-        self.keeps = true;
+        self.has_kept = true;
         let mut actions = vec![Action::Keep(*head)];
-        if !self.is_again {
+        if !self.is_recalled {
             actions.push(Action::Note(Note::Kept { flow: head.flow, cause }));
         }
         actions
     }
 
     /// Returns the other balancers that have a configuration.
-    fn able(&self, now: Time) -> impl Iterator<Item = Ipv4Addr> + '_ {
-        self.words.fresh(now).filter(|(_, word)| word.version > 0).map(|(peer, _)| peer)
+    fn configured_peers(&self, now: Time) -> impl Iterator<Item = Ipv4Addr> + '_ {
+        self.peer_states.fresh(now).filter(|(_, state)| state.version > 0).map(|(peer, _)| peer)
     }
 
     /// Forwards a packet to a balancer that has a configuration, if one is known.
@@ -61,7 +61,7 @@
     pub(super) fn relay(&mut self, now: Time, head: &Head) -> Vec<Action> {
         let key = head.flow.key().number();
         let rank = |peer: &Ipv4Addr| mix(key ^ mix(u64::from(peer.to_bits())));
-        let to = self.able(now).max_by_key(rank);
+        let to = self.configured_peers(now).max_by_key(rank);
         let Some(to) = to.filter(|_| self.identity.policy.uses(Mechanism::Relay)) else {
             return self.unrouted(now, head);
         };
--- a/crates/nutmegkeel_core/src/l4/balancer/opening.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/opening.rs
@@ -17,7 +17,7 @@
 
 /// Time after which an opening that has found no agent is refused, in milliseconds. Its client
 /// gives up after 1.4 s.
-pub(super) const LONGEST_MS: u64 = 1_100;
+pub(super) const MAX_OPENING_AGE_MS: u64 = 1_100;
 
 impl Balancer {
     /// Handles an opening. Copies go to the agent of the first one, or two backend servers would
@@ -31,14 +31,14 @@
             && self.pool.health(now, agent) == Some(Health::Fresh)
             && self.pool.service(agent) == Some(service)
         {
-            let (waited_ms, returns) = (now.since(entry.began), entry.returns == Some(true));
+            let (waited_ms, returns) = (now.since(entry.started_at), entry.returns == Some(true));
             let offer = self.offer(service, route, Insistence::IfInTime, waited_ms);
             // A copy follows the first opening whatever the current orders are, so it must not
             // indicate to the agent that its failure domain is open.
             let offer = Offer { orders: Revision::ZERO, returns, ..offer };
             return vec![Action::Forward(agent, Message::Open(offer))];
         }
-        if self.ledger.orders().is_none() {
+        if self.latest_orders.orders().is_none() {
             return self.keep(head, Cause::NoConfiguration);
         }
         self.place(now, head, service, route)
@@ -51,7 +51,7 @@
     /// clients would be answered late. Placed at once, each waits at an agent, which serves those
     /// first that can still be in time.
     fn place(&mut self, now: Time, head: &Head, service: Service, route: &Route) -> Vec<Action> {
-        let returns = self.returns(now, head);
+        let returns = self.is_retry(now, head);
         let domain = Arc::clone(&self.identity.domain);
         let need = Need {
             key: head.flow.key(),
@@ -61,11 +61,12 @@
             domain: &domain,
             tried: &[],
         };
-        let in_vain = self.asks_in_vain(now, &head.flow, service);
+        let no_slot_free = self.has_no_free_slot(now, &head.flow, service);
         let entry = self.cache.entry(now, head.flow);
-        let (declined, waited_ms) = (entry.declined.clone(), now.since(entry.began));
+        let (declined, waited_ms) = (entry.declined.clone(), now.since(entry.started_at));
         let tries = declined.len();
-        let Some(selection) = self.select(now, need, &Attempt { declined, waited_ms, in_vain })
+        let Some(selection) =
+            self.select(now, need, &Attempt { declined, waited_ms, no_slot_free })
         else {
             return self.refuse(now, head, service, route.urgency, tries);
         };
@@ -76,8 +77,9 @@
         }
         self.cache.entry(now, head.flow).place = Some(Place::Placed(choice.agent));
         self.pool.placed(choice.agent);
-        let alone = self.pool.open_agents(now, &need) <= tried.len() + 1;
-        let insistence = if for_idle && !alone { Insistence::IfIdle } else { Insistence::IfInTime };
+        let is_last = self.pool.open_agents(now, &need) <= tried.len() + 1;
+        let insistence =
+            if for_idle && !is_last { Insistence::IfIdle } else { Insistence::IfInTime };
         let note =
             Note::Placed { flow: head.flow, choice, attempt: tries, version: self.table.version };
         let offer = self.offer(service, route, insistence, waited_ms);
@@ -95,8 +97,8 @@
         urgency: Urgency,
         tries: usize,
     ) -> Vec<Action> {
-        let waited_ms = now.since(self.cache.entry(now, head.flow).began);
-        if tries == 0 && !self.is_settled(now) && waited_ms <= LONGEST_MS {
+        let waited_ms = now.since(self.cache.entry(now, head.flow).started_at);
+        if tries == 0 && !self.knows_all_agents(now) && waited_ms <= MAX_OPENING_AGE_MS {
             return self.keep(head, Cause::NoAgent);
         }
         if tries > 0 && self.identity.policy.uses(Mechanism::Room) {
@@ -130,7 +132,7 @@
             insistence,
             demand,
             waited_ms,
-            orders: self.ledger.revision(),
+            orders: self.latest_orders.revision(),
             cold_per_s: self.table.cold_per_s.get(&service).copied().unwrap_or(0),
             returns: false,
         }
--- a/crates/nutmegkeel_core/src/l4/balancer/peers.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/peers.rs
@@ -19,7 +19,7 @@
 
 /// Minimum time for which a balancer's address is forwarded after its last message, in
 /// milliseconds.
-const SPOKEN_OF_MS: u64 = 5_000;
+const RECENT_MS: u64 = 5_000;
 
 impl Balancer {
     /// Sends this balancer's state to the next few of the others. A delegate sends it to its whole
@@ -28,37 +28,38 @@
     /// Guards against a failure domain for which no balancer reads the store: with a few receivers
     /// per tick, it would take many seconds in a large domain to detect that both delegates are
     /// dead.
-    pub(super) fn gossip(&mut self, now: Time) -> Vec<Action> {
-        let (near, far) = self.peers_by_domain();
-        let sign = self.sign(now);
-        let turn = self.turn;
-        let few = if self.watches(now) { near.len() } else { PEERS_PER_TICK };
-        let told = next_few(&near, turn, few).chain(next_few(&far, turn, PEERS_PER_TICK));
-        let actions = told.map(|peer| Action::Send(peer, sign.clone())).collect();
-        let ticks = near.len().max(far.len()).div_ceil(PEERS_PER_TICK);
-        self.words.set_round(u64::try_from(ticks).unwrap_or(u64::MAX).saturating_mul(TICK_MS));
-        self.turn = self.turn.wrapping_add(PEERS_PER_TICK);
+    pub(super) fn send_gossip(&mut self, now: Time) -> Vec<Action> {
+        let (local, remote) = self.peers_by_domain();
+        let heartbeat = self.heartbeat(now);
+        let turn = self.gossip_turn;
+        let few = if self.watches(now) { local.len() } else { PEERS_PER_TICK };
+        let receivers = next_few(&local, turn, few).chain(next_few(&remote, turn, PEERS_PER_TICK));
+        let actions = receivers.map(|peer| Action::Send(peer, heartbeat.clone())).collect();
+        let ticks = local.len().max(remote.len()).div_ceil(PEERS_PER_TICK);
+        self.peer_states
+            .set_round(u64::try_from(ticks).unwrap_or(u64::MAX).saturating_mul(TICK_MS));
+        self.gossip_turn = self.gossip_turn.wrapping_add(PEERS_PER_TICK);
         actions
     }
 
     /// Returns the peers of the own failure domain, and the others.
     fn peers_by_domain(&self) -> (Vec<Ipv4Addr>, Vec<Ipv4Addr>) {
-        let is_near = |peer: &Ipv4Addr| {
-            self.words.get(*peer).is_some_and(|word| *word.domain == *self.identity.domain)
+        let is_local = |peer: &Ipv4Addr| {
+            self.peer_states.get(*peer).is_some_and(|state| *state.domain == *self.identity.domain)
         };
-        self.peers.iter().partition(is_near)
+        self.peers.iter().partition(is_local)
     }
 
     /// Notifies the whole failure domain at once of a new configuration, or that the store no
     /// longer answers this balancer. Other failure domains have their own delegates.
-    pub(super) fn tell_domain(&mut self, now: Time) -> Vec<Action> {
-        let sign = self.sign(now);
-        let (near, _) = self.peers_by_domain();
-        near.into_iter().map(|peer| Action::Send(peer, sign.clone())).collect()
+    pub(super) fn notify_domain(&mut self, now: Time) -> Vec<Action> {
+        let heartbeat = self.heartbeat(now);
+        let (local, _) = self.peers_by_domain();
+        local.into_iter().map(|peer| Action::Send(peer, heartbeat.clone())).collect()
     }
 
     /// Logs which balancers and agents changed since the last tick.
-    pub(super) fn note_turnover(&mut self) -> Vec<Action> {
+    pub(super) fn log_changes(&mut self) -> Vec<Action> {
         let (peers, agents) = (self.peers.len(), self.pool.len());
         let balancers = self.balancers_changed.take();
         let balancers = balancers.map(|turnover| Note::Balancers { turnover, known: peers });
@@ -80,7 +81,8 @@
             return None;
         }
         let own = (self.identity.address, self.reaches_store);
-        let delegates = self.words.delegates(now, &self.identity.domain, Some(own), COUNTED_MS);
+        let delegates =
+            self.peer_states.delegates(now, &self.identity.domain, Some(own), COUNTED_MS);
         delegates.iter().position(|delegate| *delegate == self.identity.address)
     }
 
@@ -90,38 +92,43 @@
             return Vec::new();
         }
         self.reaches_store = answered;
-        self.tell_domain(now)
+        self.notify_domain(now)
     }
 
-    pub(super) fn roster(&mut self, now: Time, from: Ipv4Addr, roster: &Roster) -> Vec<Action> {
+    pub(super) fn apply_gossip(
+        &mut self,
+        now: Time,
+        from: Ipv4Addr,
+        roster: &Roster,
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
         if let Some(orders) = &roster.orders {
-            actions.extend(self.hear_orders(now, roster, orders));
+            actions.extend(self.apply_peer_orders(now, roster, orders));
         }
         if roster.leaving {
-            self.words.hear(now, from, roster);
+            self.peer_states.hear(now, from, roster);
             if self.peers.knows(from) {
                 self.peers.remove(from);
-                self.outlook = None;
+                self.snapshot = None;
                 self.balancers_changed.note(from, Change::Closed);
             }
             return actions;
         }
-        let news = self.words.get(from).is_none_or(|word| word.version == 0);
-        self.words.hear(now, from, roster);
-        if news && roster.version > 0 && self.table.version == 0 {
+        let was_unconfigured = self.peer_states.get(from).is_none_or(|state| state.version == 0);
+        self.peer_states.hear(now, from, roster);
+        if was_unconfigured && roster.version > 0 && self.table.version == 0 {
             actions.extend(self.recall(now));
         }
         // Only a balancer's own message refreshes it. Otherwise, others would keep a dead balancer
         // alive by reporting it to each other.
         let is_new = self.peers.heard(now, from);
         if is_new {
-            self.outlook = None;
+            self.snapshot = None;
             self.balancers_changed.note(from, Change::Appeared);
         }
-        let list = self.list_for(now, from, roster, is_new);
+        let list = self.addresses_for(now, from, roster, is_new);
         if is_new && list.is_empty() {
-            actions.push(Action::Send(from, self.sign(now)));
+            actions.push(Action::Send(from, self.heartbeat(now)));
         }
         actions.extend(list.into_iter().map(|part| Action::Send(from, part)));
         actions.extend(self.listed(now, &roster.balancers));
@@ -133,34 +140,35 @@
 
     pub(super) fn listed(&mut self, now: Time, balancers: &[Ipv4Addr]) -> Vec<Action> {
         let mut actions = Vec::new();
-        let mut strangers = Vec::new();
+        let mut unknown = Vec::new();
         for balancer in balancers {
-            let is_leaving = self.words.get(*balancer).is_some_and(|word| word.leaving);
+            let is_leaving = self.peer_states.get(*balancer).is_some_and(|state| state.leaving);
             if *balancer != self.identity.address && !is_leaving && !self.peers.knows(*balancer) {
                 self.peers.heard(now, *balancer);
                 self.balancers_changed.note(*balancer, Change::Appeared);
-                strangers.push(*balancer);
+                unknown.push(*balancer);
             }
         }
-        if strangers.is_empty() {
+        if unknown.is_empty() {
             return actions;
         }
-        self.outlook = None;
-        let sign = self.sign(now);
-        actions.extend(strangers.into_iter().map(|peer| Action::Send(peer, sign.clone())));
+        self.snapshot = None;
+        let heartbeat = self.heartbeat(now);
+        actions.extend(unknown.into_iter().map(|peer| Action::Send(peer, heartbeat.clone())));
         actions
     }
 
     pub(super) fn leave(&mut self, now: Time) -> Vec<Action> {
         self.leaving = true;
-        self.outlook = None;
-        let sign = self.sign(now);
-        self.peers.iter().map(|peer| Action::Send(peer, sign.clone())).collect()
+        self.snapshot = None;
+        let heartbeat = self.heartbeat(now);
+        self.peers.iter().map(|peer| Action::Send(peer, heartbeat.clone())).collect()
     }
 
     /// Returns the balancers that were seen recently, including this one.
     pub(super) fn known(&self, now: Time) -> Vec<Ipv4Addr> {
-        let mut balancers = self.peers.heard_within(now, self.words.counted_ms().max(SPOKEN_OF_MS));
+        let mut balancers =
+            self.peers.heard_within(now, self.peer_states.counted_ms().max(RECENT_MS));
         if !self.leaving {
             balancers.push(self.identity.address);
         }
@@ -169,14 +177,14 @@
     }
 
     /// Returns this balancer's state without addresses, for receivers that probably know them.
-    pub(super) fn sign(&mut self, now: Time) -> Message {
-        Message::Roster(self.word(now))
+    pub(super) fn heartbeat(&mut self, now: Time) -> Message {
+        Message::Roster(self.own_gossip(now))
     }
 
-    pub(super) fn word(&mut self, now: Time) -> Roster {
-        let outlook = self.outlook(now);
-        let (digest, known) = (outlook.digest, outlook.count());
-        let agents = u32::try_from(outlook.agents).unwrap_or(u32::MAX);
+    pub(super) fn own_gossip(&mut self, now: Time) -> Roster {
+        let snapshot = self.snapshot(now);
+        let (digest, known) = (snapshot.digest, snapshot.count());
+        let agents = u32::try_from(snapshot.agents).unwrap_or(u32::MAX);
         Roster {
             version: self.table.version,
             domain: Arc::clone(&self.identity.domain),
@@ -186,7 +194,7 @@
             agents,
             reaches_store: self.reaches_store,
             leaving: self.leaving,
-            orders: self.ledger.orders().cloned(),
+            orders: self.latest_orders.orders().cloned(),
         }
     }
 }
--- a/crates/nutmegkeel_core/src/l4/balancer/queries.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/queries.rs
@@ -32,14 +32,14 @@
     /// about to stop.
     #[must_use]
     pub fn domain_peers(&self, now: Time) -> Vec<Ipv4Addr> {
-        let near = self.words.of_domain(now, &self.identity.domain);
-        near.filter(|(_, word)| !word.leaving).map(|(peer, _)| peer).collect()
+        let local = self.peer_states.of_domain(now, &self.identity.domain);
+        local.filter(|(_, state)| !state.leaving).map(|(peer, _)| peer).collect()
     }
 
     /// Returns whether messages of other balancers arrive here.
     #[must_use]
     pub fn hears_others(&self, now: Time) -> bool {
-        self.words.recent(now).next().is_some()
+        self.peer_states.recent(now).next().is_some()
     }
 
     /// Returns the number of known agents.
@@ -51,13 +51,13 @@
     /// Returns the newest evacuation orders; none while none were received.
     #[must_use]
     pub const fn orders(&self) -> Option<&Orders> {
-        self.ledger.orders()
+        self.latest_orders.orders()
     }
 
     /// Returns the number of evacuated failure domains.
     #[must_use]
     pub fn evacuated(&self) -> usize {
-        self.ledger.orders().map_or(0, |orders| orders.domains.len())
+        self.latest_orders.orders().map_or(0, |orders| orders.domains.len())
     }
 
     /// Returns the utilization of the failure domains by service; nothing if it is not computed.
@@ -80,7 +80,7 @@
             domain: Arc::clone(&self.identity.domain),
             ready: self.is_ready(now),
             version: self.table.version,
-            orders: self.ledger.orders().cloned(),
+            orders: self.latest_orders.orders().cloned(),
             delegate: self.watches(now),
             reaches_store: self.reaches_store,
             balancers: self.peers.len(),
--- a/crates/nutmegkeel_core/src/l4/balancer/review.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/review.rs
@@ -9,13 +9,14 @@
     /// client that waits for its own timeout, or for its next retransmission, which become less
     /// frequent, although the answer is known.
     pub(super) fn review(&mut self, now: Time) -> Vec<Action> {
-        let (is_cut_off, is_settled) = (self.pool.is_cut_off(now), self.is_settled(now));
-        self.note_certainty(is_cut_off, is_settled);
-        let mut actions = self.recall_if_changed(now, is_settled);
-        actions.extend(self.introduce_again(now));
+        let (is_cut_off, knows_all_agents) =
+            (self.pool.is_cut_off(now), self.knows_all_agents(now));
+        self.record_discovery(is_cut_off, knows_all_agents);
+        let mut actions = self.recall_if_changed(now, knows_all_agents);
+        actions.extend(self.repeat_introduction(now));
         actions.extend(self.collector.due(now).map(Action::Commit));
-        actions.extend(self.summarise(now));
-        actions.extend(self.tell_late(now));
+        actions.extend(self.send_summaries(now));
+        actions.extend(self.send_late_agents(now));
         actions.extend(self.compare_speeds(now));
         actions.extend(self.rebalance(now));
         if is_cut_off {
@@ -31,9 +32,9 @@
         if !silent.is_empty() {
             actions.push(Action::Note(Note::AgentsSilent { agents: silent }));
         }
-        if is_settled {
+        if knows_all_agents {
             for flow in self.cache.undecided(now) {
-                actions.extend(self.decide(now, flow));
+                actions.extend(self.continue_search(now, flow));
             }
         }
         actions
--- a/crates/nutmegkeel_core/src/l4/balancer/search.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/search.rs
@@ -12,7 +12,7 @@
 
 impl Balancer {
     /// Continues a search while no packet of the flow is available.
-    pub(super) fn decide(&mut self, now: Time, flow: Flow) -> Vec<Action> {
+    pub(super) fn continue_search(&mut self, now: Time, flow: Flow) -> Vec<Action> {
         if self.has_no_route(&flow) {
             self.cache.remove(&flow);
             return Vec::new();
@@ -23,53 +23,53 @@
             return Vec::new();
         }
         if entry.is_overdue(now) {
-            self.pass_over(now, flow);
+            self.skip_overdue(now, flow);
         }
-        self.pass_over_questions(now, flow);
+        self.skip_unanswered(now, flow);
         if self.cache.entry(now, flow).is_stale(now) {
             self.cache.entry(now, flow).restart(now);
         }
-        let asking = self.ask_further(now, flow);
+        let asking = self.ask_next(now, flow);
         if !asking.is_empty() {
             return asking;
         }
-        if !self.is_nowhere(now, flow) {
+        if !self.is_held_nowhere(now, flow) {
             return Vec::new();
         }
         let entry = self.cache.entry(now, flow);
         let (seq, asked) = (entry.client_ack, entry.declined.len());
-        self.cache.decide(&flow);
+        self.cache.mark_decided(&flow);
         self.reset_flow(flow, seq, Cause::NotHeld, asked)
     }
 
     /// Asks the remaining agents without a packet. Returns nothing if there are none.
-    fn ask_further(&mut self, now: Time, flow: Flow) -> Vec<Action> {
+    fn ask_next(&mut self, now: Time, flow: Flow) -> Vec<Action> {
         let many = self.ask_many(now, flow);
         if !many.is_empty() {
             return many;
         }
-        if let Some(call) = self.call_for_packet(now, flow) {
+        if let Some(call) = self.recall_packet(now, flow) {
             return vec![call];
         }
-        let next = self.next_to_ask(now, flow).or_else(|| self.next_to_repeat(now, flow));
+        let next = self.next_to_ask(now, flow).or_else(|| self.next_to_retry(now, flow));
         next.into_iter().map(|agent| Action::Send(agent, Message::Locate { flow })).collect()
     }
 
     /// Returns whether every agent that may hold the flow has reported that it does not. Always
     /// false without a configuration: nothing could be offered to the client in place of its flow,
     /// and this process started too recently to know all agents.
-    fn is_nowhere(&mut self, now: Time, flow: Flow) -> bool {
+    fn is_held_nowhere(&mut self, now: Time, flow: Flow) -> bool {
         let entry = self.cache.entry(now, flow);
         let is_open = |agent: &Ipv4Addr| self.pool.may_hold(now, *agent);
         let all_answered = !entry.declined.is_empty() && !entry.unanswered.iter().any(is_open);
-        all_answered && self.table.version > 0 && self.is_settled(now)
+        all_answered && self.table.version > 0 && self.knows_all_agents(now)
     }
 
     /// Returns an agent that was skipped and may answer now. Guards against a client that waits for
     /// the next whole search because a single agent could not decide when it was asked.
-    fn next_to_repeat(&mut self, now: Time, flow: Flow) -> Option<Ipv4Addr> {
+    fn next_to_retry(&mut self, now: Time, flow: Flow) -> Option<Ipv4Addr> {
         let entry = self.cache.entry(now, flow);
-        if !entry.may_ask_again(now) {
+        if !entry.may_retry(now) {
             return None;
         }
         let fresh = |agent: &&Ipv4Addr| self.pool.health(now, **agent) == Some(Health::Fresh);
@@ -88,33 +88,33 @@
         self.pool.heard(now, from, load);
         let entry = self.cache.entry(now, flow);
         entry.unanswered.retain(|agent| *agent != from);
-        let was_question = entry.questions.remove(&from);
+        let was_queried = entry.queried.remove(&from);
         let was_asked = entry.place == Some(Place::Asked(from));
-        if !was_question && !was_asked {
+        if !was_queried && !was_asked {
             return Vec::new();
         }
-        note_declined(entry, from, Reason::NotHeld);
+        record_declined(entry, from, Reason::NotHeld);
         if was_asked {
             entry.place = None;
-            let after_ms = now.since(entry.asked);
+            let after_ms = now.since(entry.asked_at);
             self.learn_answer_time(after_ms);
         }
-        if self.cache.entry(now, flow).questions.is_empty() {
-            self.decide(now, flow)
+        if self.cache.entry(now, flow).queried.is_empty() {
+            self.continue_search(now, flow)
         } else {
             Vec::new()
         }
     }
 
     pub(super) fn carry(&mut self, now: Time, head: &Head) -> Vec<Action> {
-        self.cache.decide(&head.flow);
+        self.cache.mark_decided(&head.flow);
         let entry = self.cache.entry(now, head.flow);
         entry.client_ack = head.ack;
         if entry.is_stale(now) {
             entry.restart(now);
         }
         if entry.is_overdue(now) {
-            self.pass_over(now, head.flow);
+            self.skip_overdue(now, head.flow);
         }
         match self.cache.entry(now, head.flow).place.clone() {
             Some(Place::Asked(agent)) => vec![carry_to(agent, false)],
@@ -154,8 +154,8 @@
         if self.cache.entry(now, head.flow).awaits_answers(now) {
             return self.wait_for_answers(now, head);
         }
-        self.pass_over_questions(now, head.flow);
-        if self.has_asked_first(now, head.flow) {
+        self.skip_unanswered(now, head.flow);
+        if self.has_asked_likely(now, head.flow) {
             let mut many = self.ask_many(now, head.flow);
             if !many.is_empty() {
                 many.extend(self.wait_for_answers(now, head));
@@ -169,13 +169,13 @@
     }
 
     fn wait_for_answers(&mut self, now: Time, head: &Head) -> Vec<Action> {
-        self.cache.wait(now, head.flow);
+        self.cache.mark_undecided(now, head.flow);
         self.keep(head, Cause::Undecided)
     }
 
     /// Returns whether the few agents that the flow's opening was probably offered to have been
     /// asked.
-    fn has_asked_first(&mut self, now: Time, flow: Flow) -> bool {
+    fn has_asked_likely(&mut self, now: Time, flow: Flow) -> bool {
         let Some(services) = self.services(&flow) else {
             return false;
         };
@@ -219,15 +219,15 @@
     }
 
     /// Skips an agent that has not answered: it may be dead, and another may hold the flow.
-    fn pass_over(&mut self, now: Time, flow: Flow) {
+    fn skip_overdue(&mut self, now: Time, flow: Flow) {
         let entry = self.cache.entry(now, flow);
         if let Some(place) = entry.place.take() {
-            note_unanswered(entry, place.agent());
+            record_unanswered(entry, place.agent());
         }
     }
 
     fn not_found(&mut self, now: Time, head: &Head) -> Vec<Action> {
-        if self.is_nowhere(now, head.flow) {
+        if self.is_held_nowhere(now, head.flow) {
             let asked = self.cache.entry(now, head.flow).declined.len();
             self.reset(head, Cause::NotHeld, asked)
         } else {
@@ -244,15 +244,15 @@
     ) -> Vec<Action> {
         self.pool.heard(now, from, load);
         let entry = self.cache.entry(now, flow);
-        let news = entry.place != Some(Place::Held(from));
+        let is_new = entry.place != Some(Place::Held(from));
         let asked = entry.declined.len();
         entry.place = Some(Place::Held(from));
         entry.declined.clear();
         entry.unanswered.clear();
-        entry.questions.clear();
+        entry.queried.clear();
         entry.unsure.clear();
-        self.cache.decide(&flow);
-        if !news {
+        self.cache.mark_decided(&flow);
+        if !is_new {
             return Vec::new();
         }
         vec![Action::RecallFlow(flow), Action::Note(Note::Found { flow, agent: from, asked })]
@@ -264,14 +264,14 @@
 }
 
 /// Records that an agent was skipped: it may hold the flow.
-pub(super) fn note_unanswered(entry: &mut Entry, agent: Ipv4Addr) {
-    note_declined(entry, agent, Reason::NotHeld);
+pub(super) fn record_unanswered(entry: &mut Entry, agent: Ipv4Addr) {
+    record_declined(entry, agent, Reason::NotHeld);
     if !entry.unanswered.contains(&agent) {
         entry.unanswered.push(agent);
     }
 }
 
-pub(super) fn note_declined(entry: &mut Entry, agent: Ipv4Addr, reason: Reason) {
+pub(super) fn record_declined(entry: &mut Entry, agent: Ipv4Addr, reason: Reason) {
     if let Some(known) = entry.declined.iter_mut().find(|(known, _)| *known == agent) {
         known.1 = reason;
     } else {
--- a/crates/nutmegkeel_core/src/l4/balancer/selection.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/selection.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use super::Balancer;
-use super::opening::LONGEST_MS;
+use super::opening::MAX_OPENING_AGE_MS;
 use crate::clock::Time;
 use crate::l4::message::Reason;
 use crate::l4::placement::{Choice, Need};
@@ -33,7 +33,7 @@
     /// How long its client has waited, in milliseconds.
     pub(super) waited_ms: u64,
     /// Whether asking for a free slot is known to fail.
-    pub(super) in_vain: bool,
+    pub(super) no_slot_free: bool,
 }
 
 /// An agent selected for an opening.
@@ -60,7 +60,7 @@
             return selection;
         }
         let is_free = |one: &Selection| self.pool.is_free(now, one.choice.agent);
-        let gives_up = attempt.in_vain || tries >= IDLE_TRIES || selection.is_none();
+        let gives_up = attempt.no_slot_free || tries >= IDLE_TRIES || selection.is_none();
         if gives_up && !selection.as_ref().is_some_and(is_free) {
             return self.select_for(now, need, attempt, false);
         }
@@ -77,8 +77,8 @@
         let tried = attempt.excluded(for_idle);
         let need = Need { tried: &tried, ..need };
         let policy = &self.identity.policy;
-        let is_hopeless = attempt.late() >= LATE_TRIES && policy.uses(Mechanism::Urgency);
-        let may_try = attempt.is_within_limits() && !is_hopeless;
+        let is_unservable = attempt.late() >= LATE_TRIES && policy.uses(Mechanism::Urgency);
+        let may_try = attempt.is_within_limits() && !is_unservable;
         let choice = if policy.uses(Mechanism::Room) {
             self.choose_by_room(now, &need, attempt.waited_ms, may_try)
         } else {
@@ -91,7 +91,7 @@
 impl Attempt {
     /// Returns whether the opening has tries and time left.
     pub(super) const fn is_within_limits(&self) -> bool {
-        self.declined.len() < OPEN_TRIES && self.waited_ms <= LONGEST_MS
+        self.declined.len() < OPEN_TRIES && self.waited_ms <= MAX_OPENING_AGE_MS
     }
 
     /// Returns the number of agents that reported that an answer would come too late.
--- a/crates/nutmegkeel_core/src/l4/balancer/shortage.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/shortage.rs
@@ -16,14 +16,14 @@
 
 /// Known shortage of room, beyond what the agents report.
 #[derive(Debug, Default)]
-pub(super) struct Memory {
+pub(super) struct Tracker {
     crowds: Crowds,
     returns: Returns,
     /// Degrees of urgency among the routes of each service.
     degrees: BTreeMap<Service, BTreeSet<Urgency>>,
 }
 
-impl Memory {
+impl Tracker {
     /// Applies the routes in force.
     pub(super) fn configured(&mut self, table: &Table) {
         self.degrees.clear();
@@ -69,23 +69,23 @@
     ///
     /// Guards against an overload in which every opening is returned twice before it may wait,
     /// which takes three times as many messages when hosts are busiest.
-    pub(super) fn asks_in_vain(&self, now: Time, flow: &Flow, service: Service) -> bool {
-        self.memory.crowds.is_certain(now, (flow.service, service))
+    pub(super) fn has_no_free_slot(&self, now: Time, flow: &Flow, service: Service) -> bool {
+        self.shortage.crowds.is_certain(now, (flow.service, service))
     }
 
     /// Returns whether a first opening comes from a client that was refused before. Looked up once
     /// per flow.
-    pub(super) fn returns(&mut self, now: Time, head: &Head) -> bool {
+    pub(super) fn is_retry(&mut self, now: Time, head: &Head) -> bool {
         if !self.identity.policy.uses(Mechanism::Room) {
             return false;
         }
-        if let Some(returns) = self.cache.entry(now, head.flow).returns {
-            return returns;
+        if let Some(is_retry) = self.cache.entry(now, head.flow).returns {
+            return is_retry;
         }
         // A copy of a refused opening is not a retry by its client.
-        let returns = head.ack == 0 && self.memory.returns.claim(now, &head.flow);
-        self.cache.entry(now, head.flow).returns = Some(returns);
-        returns
+        let is_retry = head.ack == 0 && self.shortage.returns.claim(now, &head.flow);
+        self.cache.entry(now, head.flow).returns = Some(is_retry);
+        is_retry
     }
 
     /// Returns why an opening must be refused now, although an agent could be asked; none if it
@@ -108,17 +108,17 @@
         }
         let place = (head.flow.service, need.service);
         if self.pool.is_free(now, choice.agent) {
-            self.memory.crowds.note_free(place);
+            self.shortage.crowds.note_free(place);
             return None;
         }
-        let lasted_ms = self.memory.crowds.note_full(now, place);
+        let lasted_ms = self.shortage.crowds.note_full(now, place);
         let entry = self.cache.entry(now, head.flow);
-        let waited_ms = now.since(entry.began);
+        let waited_ms = now.since(entry.started_at);
         if lasted_ms <= CROWD_MS || entry.returns == Some(true) {
             return None;
         }
         let rank = if self.identity.policy.uses(Mechanism::Urgency) {
-            self.memory.rank(need.service, route.urgency)
+            self.shortage.rank(need.service, route.urgency)
         } else {
             Rank::FIRST
         };
@@ -127,7 +127,7 @@
         // An agent that is still unknown here may have room.
         let is_ruled_out = soonest.servers > 0 && soonest.least_ms > left_ms;
         let (servers, least_ms) = (soonest.servers, soonest.least_ms);
-        (is_ruled_out && self.is_settled(now)).then_some(Shortage {
+        (is_ruled_out && self.knows_all_agents(now)).then_some(Shortage {
             servers,
             least_ms,
             left_ms,
@@ -144,7 +144,7 @@
         asked: usize,
         shortage: Option<Shortage>,
     ) -> Vec<Action> {
-        self.memory.returns.refused(now, &head.flow);
+        self.shortage.returns.refused(now, &head.flow);
         self.cache.remove(&head.flow);
         let cause = if shortage.is_some() { Cause::NoRoom } else { Cause::AllDeclined };
         let note = Note::Refused { flow: head.flow, cause, urgency, asked, shortage };
--- a/crates/nutmegkeel_core/src/l4/balancer/outlook.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/snapshot.rs
@@ -12,11 +12,11 @@
 
 /// Maximum age in milliseconds: a tenth of the interval of gossip, so that it adds little to the
 /// age of a message when the next one arrives.
-const FRESH_MS: u64 = 50;
+const MAX_AGE_MS: u64 = 50;
 
 /// The balancers and agents known at one time.
 #[derive(Debug)]
-pub(super) struct Outlook {
+pub(super) struct Snapshot {
     at: Time,
     /// The balancers, including this one, in ascending order.
     pub(super) balancers: Vec<Ipv4Addr>,
@@ -26,7 +26,7 @@
     pub(super) agents: usize,
 }
 
-impl Outlook {
+impl Snapshot {
     /// Returns the number of balancers.
     pub(super) fn count(&self) -> u32 {
         u32::try_from(self.balancers.len()).unwrap_or(u32::MAX)
@@ -35,15 +35,15 @@
 
 impl Balancer {
     /// Returns the balancers and agents that are known now.
-    pub(super) fn outlook(&mut self, now: Time) -> &Outlook {
-        let known = self.outlook.take().filter(|known| now.since(known.at) < FRESH_MS);
-        let outlook = known.unwrap_or_else(|| self.look(now));
-        self.outlook.insert(outlook)
+    pub(super) fn snapshot(&mut self, now: Time) -> &Snapshot {
+        let known = self.snapshot.take().filter(|known| now.since(known.at) < MAX_AGE_MS);
+        let snapshot = known.unwrap_or_else(|| self.take_snapshot(now));
+        self.snapshot.insert(snapshot)
     }
 
-    fn look(&self, now: Time) -> Outlook {
+    fn take_snapshot(&self, now: Time) -> Snapshot {
         let balancers = self.known(now);
         let digest = roster::digest(balancers.iter().copied());
-        Outlook { at: now, balancers, digest, agents: self.pool.heard_of(now) }
+        Snapshot { at: now, balancers, digest, agents: self.pool.heard_of(now) }
     }
 }
--- a/crates/nutmegkeel_core/src/l4/balancer/summary.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/summary.rs
@@ -22,26 +22,26 @@
 
 /// Number of balancers of a failure domain that send its summary in one slot, each to another
 /// receiver. One of them, or its receiver, may be dead.
-const SPEAKERS: usize = 2;
+const SENDERS_PER_SLOT: usize = 2;
 
 impl Balancer {
     /// Sends a summary of the agents of this failure domain to one balancer of each other domain,
     /// if it is this balancer's turn.
-    pub(super) fn summarise(&mut self, now: Time) -> Vec<Action> {
+    pub(super) fn send_summaries(&mut self, now: Time) -> Vec<Action> {
         let slot = now.millis() / SUMMARY_MS;
-        if slot == self.slot || !self.identity.policy.uses(Mechanism::Summaries) {
+        if slot == self.summary_slot || !self.identity.policy.uses(Mechanism::Summaries) {
             return Vec::new();
         }
-        self.slot = slot;
-        let (near, far) = self.staying_peers(now);
-        let rank = near.iter().filter(|peer| **peer < self.identity.address).count();
+        self.summary_slot = slot;
+        let (local, remote) = self.active_peers(now);
+        let rank = local.iter().filter(|peer| **peer < self.identity.address).count();
         let slot = usize::try_from(slot).unwrap_or(usize::MAX);
-        let turns = near.len() + 1;
-        if (slot + turns - rank) % turns >= SPEAKERS {
+        let turns = local.len() + 1;
+        if (slot + turns - rank) % turns >= SENDERS_PER_SLOT {
             return Vec::new();
         }
-        let summaries = messages(&self.pool.summary(now, &self.identity.domain));
-        let targets = far.values().filter_map(|peers| peers.get((slot + rank) % peers.len()));
+        let summaries = datagrams(&self.pool.summary(now, &self.identity.domain));
+        let targets = remote.values().filter_map(|peers| peers.get((slot + rank) % peers.len()));
         targets.flat_map(|to| summaries.iter().map(|one| Action::Send(*to, one.clone()))).collect()
     }
 
@@ -51,7 +51,7 @@
     /// Guards against openings that go to a dead host in another failure domain until the next
     /// summary. The last copy of an opening follows the first after 600 ms; if that goes to the
     /// dead host too, the client's try is lost.
-    pub(super) fn tell_late(&mut self, now: Time) -> Vec<Action> {
+    pub(super) fn send_late_agents(&mut self, now: Time) -> Vec<Action> {
         let late = self.pool.newly_late(now, &self.identity.domain);
         if late.reports.is_empty()
             || !self.identity.policy.uses(Mechanism::Summaries)
@@ -59,18 +59,20 @@
         {
             return Vec::new();
         }
-        let messages = messages(&Summary { passed_on: true, ..late });
-        let far = self.words.recent(now).filter(|(_, word)| word.domain != self.identity.domain);
-        far.flat_map(|(to, _)| messages.iter().map(move |one| Action::Send(to, one.clone())))
+        let datagrams = datagrams(&Summary { passed_on: true, ..late });
+        let remote =
+            self.peer_states.recent(now).filter(|(_, state)| state.domain != self.identity.domain);
+        remote
+            .flat_map(|(to, _)| datagrams.iter().map(move |one| Action::Send(to, one.clone())))
             .collect()
     }
 
     /// Returns the other balancers with a valid state that are not about to stop: those of this
     /// failure domain, and those of each other domain.
-    fn staying_peers(&self, now: Time) -> (Vec<Ipv4Addr>, BTreeMap<Arc<str>, Vec<Ipv4Addr>>) {
+    fn active_peers(&self, now: Time) -> (Vec<Ipv4Addr>, BTreeMap<Arc<str>, Vec<Ipv4Addr>>) {
         let mut domains: BTreeMap<Arc<str>, Vec<Ipv4Addr>> = BTreeMap::new();
-        for (peer, word) in self.words.staying(now) {
-            domains.entry(Arc::clone(&word.domain)).or_default().push(peer);
+        for (peer, state) in self.peer_states.staying(now) {
+            domains.entry(Arc::clone(&state.domain)).or_default().push(peer);
         }
         (domains.remove(&self.identity.domain).unwrap_or_default(), domains)
     }
@@ -82,36 +84,36 @@
         if summary.domain == self.identity.domain {
             return Vec::new();
         }
-        let mut news = Vec::new();
+        let mut new_reports = Vec::new();
         for report in &summary.reports {
             if !self.pool.is_repeated(now, report) {
-                news.push(report.clone());
+                new_reports.push(report.clone());
             }
             let change = self.pool.reported(now, summary, report);
-            self.changed(now, report.agent, change);
+            self.agent_changed(now, report.agent, change);
         }
-        if summary.passed_on || news.is_empty() {
+        if summary.passed_on || new_reports.is_empty() {
             return Vec::new();
         }
         let (domain, services) = (Arc::clone(&summary.domain), summary.services.clone());
-        let passed_on = Summary { domain, services, reports: news, passed_on: true };
+        let passed_on = Summary { domain, services, reports: new_reports, passed_on: true };
         let message = Message::Summary(passed_on);
-        let near = self.words.of_domain(now, &self.identity.domain);
-        near.map(|(peer, _)| Action::Send(peer, message.clone())).collect()
+        let local = self.peer_states.of_domain(now, &self.identity.domain);
+        local.map(|(peer, _)| Action::Send(peer, message.clone())).collect()
     }
 
     /// Records a change of an agent.
-    pub(super) fn changed(&mut self, now: Time, agent: Ipv4Addr, change: Change) {
+    pub(super) fn agent_changed(&mut self, now: Time, agent: Ipv4Addr, change: Change) {
         if change == Change::Appeared {
-            self.note_growth(now);
+            self.record_new_agent(now);
         }
-        self.agent_came |= matches!(change, Change::Appeared | Change::Opened);
+        self.agent_appeared |= matches!(change, Change::Appeared | Change::Opened);
         self.agents_changed.note(agent, change);
     }
 }
 
 /// Splits a summary into datagrams of bounded length.
-fn messages(summary: &Summary) -> Vec<Message> {
+fn datagrams(summary: &Summary) -> Vec<Message> {
     let message = |reports: &[Report]| {
         let (domain, services) = (Arc::clone(&summary.domain), summary.services.clone());
         let (reports, passed_on) = (reports.to_vec(), summary.passed_on);
--- a/crates/nutmegkeel_core/src/l4/balancer/wide_search.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/wide_search.rs
@@ -7,7 +7,7 @@
 
 use std::net::Ipv4Addr;
 
-use super::search::note_unanswered;
+use super::search::record_unanswered;
 use super::{Action, Balancer};
 use crate::clock::Time;
 use crate::l4::flow::Flow;
@@ -17,7 +17,7 @@
 
 /// Part of the objective that asking agents one by one may take, in percent. The rest is for the
 /// client's next try.
-const SEARCH_PERCENT: u64 = 25;
+const SEQUENTIAL_SEARCH_PERCENT: u64 = 25;
 
 impl Balancer {
     /// Asks all remaining agents, if asking them one by one would take too long. Returns nothing if
@@ -31,8 +31,8 @@
             return Vec::new();
         }
         let entry = self.cache.entry(now, flow);
-        entry.asked = now;
-        entry.questions.extend(&left);
+        entry.asked_at = now;
+        entry.queried.extend(&left);
         left.into_iter().map(|agent| Action::Send(agent, Message::Locate { flow })).collect()
     }
 
@@ -57,9 +57,9 @@
         let Some(route) = self.table.routes.get(&flow.service) else {
             return false;
         };
-        let limit_us = route.objective_ms * 1_000 * SEARCH_PERCENT / 100;
+        let limit_us = route.objective_ms * 1_000 * SEQUENTIAL_SEARCH_PERCENT / 100;
         let agents = u64::try_from(agents).unwrap_or(u64::MAX);
-        limit_us > 0 && agents.saturating_mul(self.answer_us) > limit_us
+        limit_us > 0 && agents.saturating_mul(self.answer_time_us) > limit_us
     }
 
     /// Updates the time that an agent takes to answer, from one that was asked alone.
@@ -67,14 +67,14 @@
         /// Divisor of the weight of one answer: with an eighth, one slow host has little influence.
         const SHARE: u64 = 8;
         let sample_us = after_ms * 1_000;
-        self.answer_us = (self.answer_us * (SHARE - 1) + sample_us) / SHARE;
+        self.answer_time_us = (self.answer_time_us * (SHARE - 1) + sample_us) / SHARE;
     }
 
     /// Skips the agents that have not answered in time. They may hold the flow.
-    pub(super) fn pass_over_questions(&mut self, now: Time, flow: Flow) {
+    pub(super) fn skip_unanswered(&mut self, now: Time, flow: Flow) {
         let entry = self.cache.entry(now, flow);
-        for agent in std::mem::take(&mut entry.questions) {
-            note_unanswered(entry, agent);
+        for agent in std::mem::take(&mut entry.queried) {
+            record_unanswered(entry, agent);
         }
     }
 
@@ -88,16 +88,16 @@
     ) -> Vec<Action> {
         self.pool.heard(now, from, load);
         let entry = self.cache.entry(now, flow);
-        if !entry.questions.remove(&from) {
+        if !entry.queried.remove(&from) {
             return Vec::new();
         }
         entry.unsure.insert(from);
-        if entry.questions.is_empty() { self.decide(now, flow) } else { Vec::new() }
+        if entry.queried.is_empty() { self.continue_search(now, flow) } else { Vec::new() }
     }
 
     /// Recalls the flow's packet, if some agents can be asked only with it. They are asked one by
     /// one: a packet that reaches many servers at once would look like a misrouted flow.
-    pub(super) fn call_for_packet(&mut self, now: Time, flow: Flow) -> Option<Action> {
+    pub(super) fn recall_packet(&mut self, now: Time, flow: Flow) -> Option<Action> {
         let entry = self.cache.entry(now, flow);
         let is_left = |agent: &Ipv4Addr| !entry.declined.contains(&(*agent, Reason::NotHeld));
         entry.unsure.iter().any(is_left).then_some(Action::RecallFlow(flow))
--- a/crates/nutmegkeel_core/src/l4/cache.rs
+++ b/crates/nutmegkeel_core/src/l4/cache.rs
@@ -10,28 +10,28 @@
 
 /// Maximum number of entries. A balancer has up to 23,000 open flows; this leaves room for flows of
 /// other balancers after the fabric changes its choice, in about 15 MB.
-pub const LARGEST: usize = 100_000;
+pub const MAX_ENTRIES: usize = 100_000;
 
 /// Time after which an unused entry is removed, in milliseconds. No flow lives longer.
-const UNUSED_MS: u64 = 60_000;
+const IDLE_TIMEOUT_MS: u64 = 60_000;
 
 /// Time after which a waiting client has given up, in milliseconds. No request has a later
 /// deadline.
-const UNDECIDED_MS: u64 = 10_000;
+const UNDECIDED_TIMEOUT_MS: u64 = 10_000;
 
 /// Time after which a search without a result is repeated, in milliseconds. Agents may have
 /// appeared.
-const SEARCH_MS: u64 = 1_000;
+const SEARCH_INTERVAL_MS: u64 = 1_000;
 
 /// Time after which an agent that has not answered a search is skipped, in milliseconds. A round
 /// trip between failure domains takes 3 ms, and a small busy host may add some tens of
 /// milliseconds.
-pub const ANSWER_MS: u64 = 60;
+pub const ANSWER_TIMEOUT_MS: u64 = 60;
 
 /// Pause before an agent that did not answer is asked again, in milliseconds. The agent may have
 /// just started next to a backend server that it does not know yet; it knows the server two ticks
 /// later.
-const AGAIN_MS: u64 = 200;
+const RETRY_MS: u64 = 200;
 
 /// Location of a flow, as known to this balancer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -68,15 +68,15 @@
     /// Agents that were skipped without an answer. One of them may hold the flow.
     pub unanswered: Vec<Ipv4Addr>,
     /// Agents that were asked without the packet and have not answered yet.
-    pub questions: BTreeSet<Ipv4Addr>,
+    pub queried: BTreeSet<Ipv4Addr>,
     /// Agents that need the packet to determine whether they hold the flow.
     pub unsure: BTreeSet<Ipv4Addr>,
     /// When the current search or placement began.
-    pub began: Time,
-    /// When the agent of `place`, or those of `questions`, were asked.
-    pub asked: Time,
+    pub started_at: Time,
+    /// When the agent of `place`, or those of `queried`, were asked.
+    pub asked_at: Time,
     /// When the entry was last used.
-    pub used: Time,
+    pub used_at: Time,
 }
 
 impl Entry {
@@ -87,11 +87,11 @@
             client_ack: 0,
             returns: None,
             unanswered: Vec::new(),
-            questions: BTreeSet::new(),
+            queried: BTreeSet::new(),
             unsure: BTreeSet::new(),
-            began: now,
-            asked: now,
-            used: now,
+            started_at: now,
+            asked_at: now,
+            used_at: now,
         }
     }
 
@@ -103,43 +103,45 @@
     /// Records that an agent is asked for the flow.
     pub fn ask(&mut self, now: Time, agent: Ipv4Addr) {
         self.place = Some(Place::Asked(agent));
-        self.asked = now;
+        self.asked_at = now;
     }
 
     /// Returns whether the search ended without a result long enough ago to be repeated.
     #[must_use]
     pub fn is_stale(&self, now: Time) -> bool {
-        self.place.is_none() && self.questions.is_empty() && now.since(self.began) > SEARCH_MS
+        self.place.is_none()
+            && self.queried.is_empty()
+            && now.since(self.started_at) > SEARCH_INTERVAL_MS
     }
 
     /// Returns whether an agent was asked in the current search, with or without the packet.
     #[must_use]
     pub fn was_asked(&self, agent: Ipv4Addr) -> bool {
         self.declined.contains(&(agent, Reason::NotHeld))
-            || self.questions.contains(&agent)
+            || self.queried.contains(&agent)
             || self.unsure.contains(&agent)
     }
 
     /// Returns whether agents that did not answer may be asked again.
     #[must_use]
-    pub fn may_ask_again(&self, now: Time) -> bool {
-        self.place.is_none() && now.since(self.asked) > AGAIN_MS
+    pub fn may_retry(&self, now: Time) -> bool {
+        self.place.is_none() && now.since(self.asked_at) > RETRY_MS
     }
 
     /// Returns whether the answer of the last asked agent is overdue.
     #[must_use]
     pub fn is_overdue(&self, now: Time) -> bool {
-        matches!(self.place, Some(Place::Asked(_))) && self.has_waited(now)
+        matches!(self.place, Some(Place::Asked(_))) && self.is_timed_out(now)
     }
 
     /// Returns whether agents that were asked at once may still answer.
     #[must_use]
     pub fn awaits_answers(&self, now: Time) -> bool {
-        !self.questions.is_empty() && !self.has_waited(now)
+        !self.queried.is_empty() && !self.is_timed_out(now)
     }
 
-    const fn has_waited(&self, now: Time) -> bool {
-        now.since(self.asked) > ANSWER_MS
+    const fn is_timed_out(&self, now: Time) -> bool {
+        now.since(self.asked_at) > ANSWER_TIMEOUT_MS
     }
 }
 
@@ -154,11 +156,11 @@
 impl Cache {
     /// Returns the entry of a flow, created if there is none.
     pub fn entry(&mut self, now: Time, flow: Flow) -> &mut Entry {
-        if self.entries.len() >= LARGEST && !self.entries.contains_key(&flow) {
+        if self.entries.len() >= MAX_ENTRIES && !self.entries.contains_key(&flow) {
             self.entries.pop_first();
         }
         let entry = self.entries.entry(flow).or_insert_with(|| Entry::new(now));
-        entry.used = now;
+        entry.used_at = now;
         entry
     }
 
@@ -168,25 +170,25 @@
         self.undecided.remove(flow);
     }
 
-    /// Removes entries that have not been used for [`UNUSED_MS`].
+    /// Removes entries that have not been used for [`IDLE_TIMEOUT_MS`].
     pub fn expire(&mut self, now: Time) {
-        self.entries.retain(|_, entry| now.since(entry.used) < UNUSED_MS);
+        self.entries.retain(|_, entry| now.since(entry.used_at) < IDLE_TIMEOUT_MS);
     }
 
     /// Records that a client waits, because its packet could not be handled before all agents
     /// answer.
-    pub fn wait(&mut self, now: Time, flow: Flow) {
+    pub fn mark_undecided(&mut self, now: Time, flow: Flow) {
         self.undecided.entry(flow).or_insert(now);
     }
 
     /// Records that the client no longer waits.
-    pub fn decide(&mut self, flow: &Flow) {
+    pub fn mark_decided(&mut self, flow: &Flow) {
         self.undecided.remove(flow);
     }
 
     /// Returns flows whose clients wait for a decision. Removes those that have waited too long.
     pub fn undecided(&mut self, now: Time) -> Vec<Flow> {
-        self.undecided.retain(|_, since| now.since(*since) <= UNDECIDED_MS);
+        self.undecided.retain(|_, since| now.since(*since) <= UNDECIDED_TIMEOUT_MS);
         self.undecided.keys().copied().collect()
     }
 
@@ -194,8 +196,8 @@
     /// numbers.
     #[must_use]
     pub fn held_by(&self, agent: Ipv4Addr) -> Vec<(Flow, u32)> {
-        let there = |entry: &Entry| entry.place == Some(Place::Held(agent));
-        let entries = self.entries.iter().filter(|(_, entry)| there(entry));
+        let is_held = |entry: &Entry| entry.place == Some(Place::Held(agent));
+        let entries = self.entries.iter().filter(|(_, entry)| is_held(entry));
         entries.map(|(flow, entry)| (*flow, entry.client_ack)).collect()
     }
 
--- a/crates/nutmegkeel_core/src/l4/fetch.rs
+++ b/crates/nutmegkeel_core/src/l4/fetch.rs
@@ -21,10 +21,10 @@
 
 /// Maximum number of concurrent calls. With two, a doubted call at most doubles what a slow holder
 /// has to send.
-const CALLS: usize = 2;
+const MAX_CALLS: usize = 2;
 
 /// Maximum number of known holders.
-const HOLDERS: usize = 8;
+const MAX_HOLDERS: usize = 8;
 
 /// A process that has a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,12 +57,13 @@
 
     /// Adds a process that has a configuration.
     pub fn told(&mut self, now: Time, holder: Holder) {
-        let has_room = self.holders.len() < HOLDERS || self.holders.contains_key(&holder.address);
+        let has_room =
+            self.holders.len() < MAX_HOLDERS || self.holders.contains_key(&holder.address);
         if holder.version <= self.held || !has_room {
             return;
         }
         self.holders.insert(holder.address, holder.version);
-        if self.due.is_none() && self.called.len() < CALLS {
+        if self.due.is_none() && self.called.len() < MAX_CALLS {
             self.due = Some(now.after(mix(u64::from(self.own.to_bits())) % SPREAD_MS));
         }
     }
@@ -70,7 +71,7 @@
     /// Records the version that this process has, from any source.
     pub fn hold(&mut self, version: u64) {
         self.held = self.held.max(version);
-        self.holders.retain(|_, told| *told > self.held);
+        self.holders.retain(|_, version| *version > self.held);
         if self.holders.is_empty() {
             self.due = None;
         }
@@ -96,19 +97,19 @@
         if self.due.is_none_or(|due| now < due) {
             return None;
         }
-        let holder = self.best();
+        let holder = self.best_holder();
         self.called.extend(holder);
-        let goes_on = holder.is_some() && self.called.len() < CALLS;
+        let goes_on = holder.is_some() && self.called.len() < MAX_CALLS;
         self.due = goes_on.then(|| now.after(DOUBT_MS));
         holder
     }
 
     /// Records the end of a call, with the version that it returned, if any.
-    pub fn ended(&mut self, now: Time, holder: Ipv4Addr, brought: Option<u64>) {
+    pub fn ended(&mut self, now: Time, holder: Ipv4Addr, returned: Option<u64>) {
         if let Some(index) = self.called.iter().position(|called| *called == holder) {
             self.called.swap_remove(index);
         }
-        match brought {
+        match returned {
             Some(version) if version > self.held => self.hold(version),
             // A holder with a newer version reports it again. Guards against continuous calls to a
             // holder that serves an older version than it reported.
@@ -116,7 +117,7 @@
                 self.holders.remove(&holder);
             }
         }
-        let goes_on = !self.holders.is_empty() && self.called.len() < CALLS;
+        let goes_on = !self.holders.is_empty() && self.called.len() < MAX_CALLS;
         self.due = goes_on.then_some(now);
     }
 
@@ -124,7 +125,7 @@
     /// configuration, then a hash that spreads the processes of a failure domain over its
     /// delegates. A holder with a call in flight may be called again, because only its connection
     /// may hang.
-    fn best(&self) -> Option<Ipv4Addr> {
+    fn best_holder(&self) -> Option<Ipv4Addr> {
         let rank = |address: &Ipv4Addr, version: u64| {
             let place = u64::from(self.own.to_bits()) << 32 | u64::from(address.to_bits());
             (!self.called.contains(address), version, mix(place))
--- a/crates/nutmegkeel_core/src/l4/word.rs
+++ b/crates/nutmegkeel_core/src/l4/word.rs
@@ -18,7 +18,7 @@
 
 /// Rounds of gossip after which a balancer's state is no longer valid. With two, one message may be
 /// lost.
-const ROUNDS: u64 = 2;
+const VALID_ROUNDS: u64 = 2;
 
 /// Pause of a delegate between two watches after a change, in milliseconds. It lets a few calls
 /// read a burst of changes, since each call to the store is billed.
@@ -39,14 +39,14 @@
 
 /// A balancer that may be a delegate, ordered by preference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Contender {
+struct Candidate {
     is_cut_off: bool,
     weight: u64,
     balancer: Ipv4Addr,
     said: Time,
 }
 
-impl Contender {
+impl Candidate {
     fn of(balancer: Ipv4Addr, reaches_store: bool, said: Time) -> Self {
         let weight = mix(u64::from(balancer.to_bits()));
         Self { is_cut_off: !reaches_store, weight, balancer, said }
@@ -73,7 +73,7 @@
 /// The last state of each balancer.
 #[derive(Debug, Default)]
 pub struct Words {
-    words: BTreeMap<Ipv4Addr, Word>,
+    states: BTreeMap<Ipv4Addr, Word>,
     /// Time in which every balancer sends its state once, in milliseconds.
     round_ms: u64,
 }
@@ -89,18 +89,18 @@
             reaches_store: roster.reaches_store,
             leaving: roster.leaving,
         };
-        self.words.insert(from, word);
+        self.states.insert(from, word);
     }
 
     /// Returns the last state of a balancer, however old.
     #[must_use]
     pub fn get(&self, balancer: Ipv4Addr) -> Option<&Word> {
-        self.words.get(&balancer)
+        self.states.get(&balancer)
     }
 
     /// Removes a balancer that reported that it stops.
     pub fn remove(&mut self, balancer: Ipv4Addr) {
-        self.words.remove(&balancer);
+        self.states.remove(&balancer);
     }
 
     /// Sets the time in which every balancer sends its state once. Guards against states that
@@ -114,13 +114,13 @@
     /// Returns how long a state is valid, in milliseconds.
     #[must_use]
     pub fn counted_ms(&self) -> u64 {
-        COUNTED_MS.max(ROUNDS * self.round_ms + COUNTED_MS / 2)
+        COUNTED_MS.max(VALID_ROUNDS * self.round_ms + COUNTED_MS / 2)
     }
 
     /// Returns the valid states.
     pub fn recent(&self, now: Time) -> impl Iterator<Item = (Ipv4Addr, &Word)> + '_ {
         let counted_ms = self.counted_ms();
-        let recent = self.words.iter().filter(move |(_, word)| now.since(word.said) <= counted_ms);
+        let recent = self.states.iter().filter(move |(_, word)| now.since(word.said) <= counted_ms);
         recent.map(|(balancer, word)| (*balancer, word))
     }
 
@@ -167,23 +167,23 @@
         own: Option<(Ipv4Addr, bool)>,
         patience_ms: u64,
     ) -> Vec<Ipv4Addr> {
-        let near = self.of_domain(now, domain).filter(|(_, word)| !word.leaving);
-        let near =
-            near.map(|(balancer, word)| Contender::of(balancer, word.reaches_store, word.said));
-        let own = own.map(|(balancer, reaches)| Contender::of(balancer, reaches, now));
-        let mut ranked: Vec<_> = near.chain(own).collect();
+        let local = self.of_domain(now, domain).filter(|(_, word)| !word.leaving);
+        let local =
+            local.map(|(balancer, word)| Candidate::of(balancer, word.reaches_store, word.said));
+        let own = own.map(|(balancer, reaches)| Candidate::of(balancer, reaches, now));
+        let mut ranked: Vec<_> = local.chain(own).collect();
         ranked.sort_unstable();
         let mut delegates = Vec::new();
         let mut vacated = Time::ZERO;
-        for contender in ranked {
+        for candidate in ranked {
             // A candidate acts as a delegate only once the one ranked before it was skipped, so its
             // timeout starts no earlier than that.
-            let limit = contender.said.max(vacated).after(patience_ms);
+            let limit = candidate.said.max(vacated).after(patience_ms);
             if now > limit {
                 vacated = limit;
                 continue;
             }
-            delegates.push(contender.balancer);
+            delegates.push(candidate.balancer);
             if delegates.len() == DELEGATES {
                 break;
             }
@@ -194,6 +194,6 @@
     /// Removes states that are no longer valid.
     pub fn expire(&mut self, now: Time) {
         let counted_ms = self.counted_ms();
-        self.words.retain(|_, word| now.since(word.said) <= counted_ms);
+        self.states.retain(|_, word| now.since(word.said) <= counted_ms);
     }
 }
