--- a/crates/nutmegkeel_core/tests/l4/balancer.rs
+++ b/crates/nutmegkeel_core/tests/l4/balancer.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_copy_goes_elsewhere_when_the_first_agent_fell_silent() {
+fn a_copy_goes_to_another_agent_when_the_first_one_is_silent() {
     let mut balancer = balancer(&[1, 2, 3]);
     let first = forwarded(&balancer.handle(at(3_000), Event::Client(opening(flow(1), 0))));
     let others: Vec<u8> = [1, 2, 3].into_iter().filter(|n| Some(host(*n)) != first).collect();
@@ -95,7 +95,7 @@
 /// Guards against a client that waits for its own timeout although its agent is dead. It has sent
 /// its request and sends no further packet that a reset could answer.
 #[test]
-fn clients_of_a_dead_agent_are_told_without_asking() {
+fn flows_of_a_dead_agent_are_reset_without_a_packet() {
     let mut balancer = balancer(&[1, 2, 3]);
     let packet = data(flow(1), 1_001, 500);
     balancer.handle(at(3_000), Event::Client(packet));
@@ -111,7 +111,7 @@
 /// Guards against flows of live servers that are reset when another host dies. The balancer had
 /// only asked the dead agent for the flow and must not take that for the flow's location.
 #[test]
-fn a_flow_that_was_only_asked_for_at_a_dead_agent_is_kept() {
+fn a_flow_is_not_reset_when_an_agent_that_was_asked_for_it_dies() {
     let mut balancer = balancer(&[1, 2, 3]);
     let packet = data(flow(1), 1_001, 500);
     let asked = forwarded(&balancer.handle(at(3_000), Event::Client(packet)));
@@ -126,7 +126,7 @@
 /// Guards against resetting all flows of a balancer whose host was stalled for three seconds. It
 /// received no announcements in that time and would take every agent for dead.
 #[test]
-fn a_balancer_that_stood_still_takes_nobody_for_dead() {
+fn a_stalled_balancer_resets_no_flows() {
     let mut balancer = balancer(&[1, 2, 3]);
     let holds = Event::Holds { from: host(1), flow: flow(1), load: Load::default() };
     balancer.handle(at(3_001), holds);
@@ -141,7 +141,7 @@
 /// agents are still appearing, and its next copy follows only after 1.6 s. The balancer must reset
 /// the flow as soon as all agents have answered.
 #[test]
-fn a_client_that_waits_is_told_once_the_agents_are_known() {
+fn a_waiting_client_is_reset_once_all_agents_are_known() {
     let mut balancer = balancer(&[]);
     announce(&mut balancer, &[1], 3_000, 3_000);
     let packet = data(flow(1), 1_001, 500);
@@ -156,11 +156,11 @@
 }
 
 #[test]
-fn an_opening_asks_for_an_idle_slot_twice_and_then_insists() {
+fn an_opening_asks_for_an_idle_slot_twice_and_then_may_wait() {
     let mut balancer = balancer(&[1, 2, 3, 4]);
     let head = opening(flow(1), 0);
     let mut actions = balancer.handle(at(3_000), Event::Client(head));
-    let mut insistences = Vec::new();
+    let mut admissions = Vec::new();
     for step in 0..3 {
         let (agent, admission) = actions
             .iter()
@@ -171,19 +171,19 @@
                 _ => None,
             })
             .expect("an agent is asked");
-        insistences.push(admission);
+        admissions.push(admission);
         let event = declined(agent.octets()[3], head, Reason::Busy);
         actions = balancer.handle(at(3_001 + step), event);
     }
 
     let expected = [Admission::IfIdle, Admission::IfIdle, Admission::IfInTime];
-    assert_eq!(insistences, expected);
+    assert_eq!(admissions, expected);
 }
 
 /// Guards against openings that waited at one agent until their clients gave up and are then
 /// offered to the next one, which wastes its slots: the fleet stays overloaded long after a burst.
 #[test]
-fn an_opening_is_not_passed_on_when_its_client_has_given_up() {
+fn an_opening_is_not_offered_again_when_its_client_has_given_up() {
     let mut balancer = balancer(&[1, 2, 3]);
     let head = opening(flow(1), 0);
     let first = forwarded(&balancer.handle(at(3_000), Event::Client(head)));
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn an_older_configuration_never_comes_back() {
+fn an_older_configuration_is_ignored() {
     let mut balancer = balancer(&[1]);
     balancer.handle(at(3_000), Event::Configured(table(5, &[])));
 
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_leaving_balancer_is_not_ready_and_says_so() {
+fn a_leaving_balancer_is_not_ready_and_reports_it() {
     let mut balancer = balancer(&[1]);
     let peer = host(77);
     let roster = roster(1, &[peer], 0);
@@ -260,15 +260,15 @@
 
     assert!(before);
     assert!(!balancer.is_ready(at(3_002)));
-    let tells = |action: &Action| {
+    let reports_leaving = |action: &Action| {
         matches!(action, Action::Send(to, Message::Gossip(roster))
             if *to == peer && roster.leaving && !roster.balancers.contains(&BALANCER))
     };
-    assert!(actions.iter().any(tells), "{actions:?}");
+    assert!(actions.iter().any(reports_leaving), "{actions:?}");
 }
 
 #[test]
-fn a_balancer_that_hears_of_few_agents_is_not_ready() {
+fn a_balancer_that_receives_few_announcements_is_not_ready() {
     let mut balancer = balancer(&[1, 2, 3, 4]);
 
     announce(&mut balancer, &[1], 3_300, 6_000);
@@ -319,7 +319,7 @@
 /// flow's agent does not know it yet, and the agents that do know it hold nothing; but another
 /// balancer knows more agents.
 #[test]
-fn a_balancer_that_hears_of_fewer_agents_than_others_resets_nothing() {
+fn a_balancer_that_knows_fewer_agents_than_others_resets_nothing() {
     let mut balancer = balancer(&[1]);
     let peer = host(77);
     let roster = roster(1, &[peer], 2);
@@ -336,9 +336,9 @@
 /// down for longer than they keep balancers. An agent with the same view as the balancers got no
 /// message from them.
 #[test]
-fn agents_that_know_all_balancers_are_told_again() {
+fn agents_that_know_all_balancers_are_sent_a_message_again() {
     let mut balancer = balancer(&[1]);
-    let told = |actions: Vec<Action>| {
+    let is_sent = |actions: Vec<Action>| {
         actions.iter().any(|action| matches!(action, Action::Send(_, Message::Gossip(_))))
     };
     let mut agreeing = word(9_000, State::Ready, Load::default());
@@ -348,14 +348,14 @@
     let soon = balancer.handle(at(4_300), Event::Announced(host(1), agreeing.clone()));
     let later = balancer.handle(at(4_600), Event::Announced(host(1), agreeing));
 
-    assert!(!told(soon));
-    assert!(told(later));
+    assert!(!is_sent(soon));
+    assert!(is_sent(later));
 }
 
 /// Guards against searches for flows whose clients have given up long ago, for as long as an agent
 /// that may hold them does not answer.
 #[test]
-fn a_client_that_waited_too_long_is_given_up() {
+fn a_search_ends_when_its_client_has_given_up() {
     let mut balancer = balancer(&[1]);
     let packet = data(flow(1), 1_001, 500);
     balancer.handle(at(3_000), Event::Client(packet));
@@ -386,17 +386,17 @@
     announce(&mut balancer, &[1], 3_200, 3_200);
     let asked = balancer.handle(at(3_301), Event::Tick);
     let absent = Event::Absent { from: host(1), flow: flow(1), load: Load::default() };
-    let told = balancer.handle(at(3_303), absent);
+    let answered = balancer.handle(at(3_303), absent);
 
     assert!(asked.contains(&Action::Send(host(1), Message::Locate { flow: flow(1) })), "{asked:?}");
-    assert!(told.contains(&Action::Reset { flow: flow(1), seq: 500 }), "{told:?}");
+    assert!(answered.contains(&Action::Reset { flow: flow(1), seq: 500 }), "{answered:?}");
 }
 
 /// Guards against requests that wait for 200 to 600 ms after a restart. The balancer lacks a
 /// configuration for a few milliseconds only, and clients send copies of dropped packets at growing
 /// intervals.
 #[test]
-fn a_packet_that_came_before_the_configuration_is_handled_with_it() {
+fn a_packet_is_kept_until_the_configuration_arrives() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     announce(&mut balancer, &[1], 0, 0);
     let head = opening(flow(1), 0);
@@ -413,7 +413,7 @@
 
 /// Guards against a kept packet that is never answered because nothing changes any more.
 #[test]
-fn a_kept_opening_is_answered_in_the_end() {
+fn a_kept_opening_is_eventually_answered() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     balancer.handle(at(0), Event::Ordered(Orders::default()));
     balancer.handle(at(0), Event::Configured(table(1, &[(PORT, desk())])));
@@ -455,24 +455,24 @@
 /// Guards against servers that idle for 300 ms after a mass restart, because balancers with slow
 /// links wait for a large configuration that others have.
 #[test]
-fn a_balancer_without_a_configuration_hands_packets_to_one_that_has_it() {
+fn a_balancer_without_a_configuration_relays_packets_to_one_that_has_it() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     let head = opening(flow(1), 0);
     let roster = |version| roster(version, &[], 3);
     balancer.handle(at(1), Event::Gossip(host(8), roster(0)));
 
     let alone = balancer.handle(at(10), Event::Client(head));
-    let heard = balancer.handle(at(20), Event::Gossip(host(9), roster(4)));
+    let configured = balancer.handle(at(20), Event::Gossip(host(9), roster(4)));
     let relayed = balancer.handle(at(20), Event::Recalled(head));
 
     assert!(alone.contains(&Action::Keep(head)), "{alone:?}");
-    assert!(heard.contains(&Action::Recall), "{heard:?}");
+    assert!(configured.contains(&Action::Recall), "{configured:?}");
     assert!(relayed.contains(&Action::Forward(host(9), Message::Relay)), "{relayed:?}");
 }
 
 /// Guards against two balancers without a configuration that relay a packet to each other forever.
 #[test]
-fn a_packet_is_handed_over_once() {
+fn a_packet_is_relayed_once() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     let roster = roster(4, &[], 3);
     balancer.handle(at(1), Event::Gossip(host(9), roster));
@@ -515,7 +515,7 @@
 /// Guards against a reset of a flow whose server is alive, by a balancer that has just started
 /// without a configuration and does not know all agents yet.
 #[test]
-fn a_balancer_without_a_configuration_resets_nothing_that_it_does_not_find() {
+fn a_balancer_without_a_configuration_resets_no_flow() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     announce(&mut balancer, &[1, 2], 0, 3_000);
     let head = data(flow(1), 1_001, 501);
--- a/crates/nutmegkeel_core/tests/l4/delegate.rs
+++ b/crates/nutmegkeel_core/tests/l4/delegate.rs
@@ -28,17 +28,21 @@
 /// Balancers 1 to `count` of one failure domain that have all received each other's state.
 fn domain(count: u8) -> Vec<Balancer> {
     let mut balancers: Vec<_> = (1..=count).map(balancer).collect();
-    gossip(&mut balancers, 0..=0, &[]);
+    exchange_gossip(&mut balancers, 0..=0, &[]);
     balancers
 }
 
 /// Delivers the state of each balancer, except silent ones, to all others at each of these times.
-fn gossip(balancers: &mut [Balancer], times: std::ops::RangeInclusive<u64>, silent: &[u8]) {
+fn exchange_gossip(
+    balancers: &mut [Balancer],
+    times: std::ops::RangeInclusive<u64>,
+    silent: &[u8],
+) {
     for millis in times.step_by(TICK_MS) {
-        for speaker in numbers(balancers).filter(|speaker| !silent.contains(speaker)) {
-            for listener in numbers(balancers).filter(|listener| *listener != speaker) {
-                let word = Event::Gossip(host(speaker), roster(1, &[], 3));
-                balancers[usize::from(listener) - 1].handle(at(millis), word);
+        for sender in numbers(balancers).filter(|sender| !silent.contains(sender)) {
+            for receiver in numbers(balancers).filter(|receiver| *receiver != sender) {
+                let gossip = Event::Gossip(host(sender), roster(1, &[], 3));
+                balancers[usize::from(receiver) - 1].handle(at(millis), gossip);
             }
         }
     }
@@ -62,7 +66,7 @@
 }
 
 #[test]
-fn a_balancer_that_hears_of_nobody_watches() {
+fn a_balancer_without_peers_watches() {
     let balancer = balancer(1);
 
     assert!(balancer.watches(at(0)));
@@ -71,11 +75,11 @@
 /// Guards against changes of the configuration that are never seen, because both watching balancers
 /// died and the others keep waiting for their messages.
 #[test]
-fn others_watch_when_both_watchers_fall_silent() {
+fn others_watch_when_both_watchers_become_silent() {
     let mut balancers = domain(12);
     let dead = watchers(&balancers, 10);
 
-    gossip(&mut balancers, 500..=4_000, &dead);
+    exchange_gossip(&mut balancers, 500..=4_000, &dead);
     let later = watchers(&balancers, 4_010);
 
     let alive: Vec<_> = later.iter().filter(|number| !dead.contains(number)).collect();
@@ -83,15 +87,15 @@
 }
 
 /// Lets balancers send by themselves and delivers their states. Those of `dead` send nothing.
-fn speak(balancers: &mut [Balancer], times: std::ops::RangeInclusive<u64>, dead: &[u8]) {
+fn run(balancers: &mut [Balancer], times: std::ops::RangeInclusive<u64>, dead: &[u8]) {
     for millis in times.step_by(TICK_MS) {
-        for speaker in numbers(balancers).filter(|speaker| !dead.contains(speaker)) {
-            let sent = balancers[usize::from(speaker) - 1].handle(at(millis), Event::Tick);
-            for (to, word) in rosters(&sent) {
-                let listener = numbers(balancers).find(|number| host(*number) == to);
-                let listener = listener.expect("a balancer is spoken to");
-                balancers[usize::from(listener) - 1]
-                    .handle(at(millis), Event::Gossip(host(speaker), word));
+        for sender in numbers(balancers).filter(|sender| !dead.contains(sender)) {
+            let sent = balancers[usize::from(sender) - 1].handle(at(millis), Event::Tick);
+            for (to, gossip) in gossip_messages(&sent) {
+                let receiver = numbers(balancers).find(|number| host(*number) == to);
+                let receiver = receiver.expect("a balancer is spoken to");
+                balancers[usize::from(receiver) - 1]
+                    .handle(at(millis), Event::Gossip(host(sender), gossip));
             }
         }
     }
@@ -102,10 +106,10 @@
 #[test]
 fn a_large_failure_domain_replaces_dead_delegates_within_three_seconds() {
     let mut balancers = domain(60);
-    speak(&mut balancers, 500..=10_000, &[]);
+    run(&mut balancers, 500..=10_000, &[]);
     let dead = watchers(&balancers, 10_010);
 
-    speak(&mut balancers, 10_500..=13_000, &dead);
+    run(&mut balancers, 10_500..=13_000, &dead);
 
     let later = watchers(&balancers, 13_010);
     let alive: Vec<_> = later.iter().filter(|number| !dead.contains(number)).collect();
@@ -116,44 +120,44 @@
 /// The store is unreachable for just the two watching hosts of a failure domain. They report it,
 /// and others take over when they next check.
 #[test]
-fn others_watch_when_the_store_turns_the_watchers_away() {
+fn others_watch_when_the_store_is_unreachable_for_the_watchers() {
     let mut balancers = domain(12);
-    let refused = watchers(&balancers, 10);
-    for number in &refused {
+    let cut_off = watchers(&balancers, 10);
+    for number in &cut_off {
         let sent = balancers[usize::from(*number) - 1].handle(at(20), Event::StoreAnswered(false));
-        for (to, word) in rosters(&sent) {
+        for (to, gossip) in gossip_messages(&sent) {
             let index = (1..=12).position(|other| host(other) == to).expect("a balancer");
-            balancers[index].handle(at(21), Event::Gossip(host(*number), word));
+            balancers[index].handle(at(21), Event::Gossip(host(*number), gossip));
         }
     }
 
     let later = watchers(&balancers, 30);
 
     assert_eq!(later.len(), DELEGATES);
-    assert!(later.iter().all(|number| !refused.contains(number)), "{refused:?} {later:?}");
+    assert!(later.iter().all(|number| !cut_off.contains(number)), "{cut_off:?} {later:?}");
 }
 
 /// While the store is unreachable for all, two balancers of each failure domain go on calling it,
 /// not all.
 #[test]
-fn two_go_on_asking_while_the_store_answers_nobody() {
-    let mut words = States::default();
+fn two_delegates_remain_while_the_store_is_unreachable_for_all() {
+    let mut states = States::default();
     for number in 1..=12 {
-        let word = Gossip { reaches_store: false, ..roster(0, &[], 0) };
-        words.apply(at(0), host(number), &word);
+        let gossip = Gossip { reaches_store: false, ..roster(0, &[], 0) };
+        states.apply(at(0), host(number), &gossip);
     }
 
-    let delegates = words.delegates(at(1), DOMAIN, Some((BALANCER, false)), VALID_MS);
+    let delegates = states.delegates(at(1), DOMAIN, Some((BALANCER, false)), VALID_MS);
 
     assert_eq!(delegates.len(), DELEGATES);
 }
 
 #[test]
 fn balancers_of_other_failure_domains_are_no_delegates() {
-    let mut words = States::default();
-    words.apply(at(0), host(1), &Gossip { domain: "tema".into(), ..roster(1, &[], 0) });
+    let mut states = States::default();
+    states.apply(at(0), host(1), &Gossip { domain: "tema".into(), ..roster(1, &[], 0) });
 
-    let delegates = words.delegates(at(1), DOMAIN, None, VALID_MS);
+    let delegates = states.delegates(at(1), DOMAIN, None, VALID_MS);
 
     assert_eq!(delegates, Vec::<Ipv4Addr>::new());
 }
@@ -161,19 +165,19 @@
 /// Balancers that do not watch learn of a new configuration with the next datagram, not with the
 /// next round of gossip.
 #[test]
-fn a_new_configuration_is_told_to_the_whole_failure_domain_at_once() {
+fn a_new_configuration_is_sent_to_the_whole_failure_domain_at_once() {
     let mut balancers = domain(12);
     balancers[0].handle(at(10), Event::Configured(table(2, &[(PORT, desk())])));
 
-    let told = balancers[0].handle(at(20), Event::Configured(table(3, &[(PORT, desk())])));
+    let sent = balancers[0].handle(at(20), Event::Configured(table(3, &[(PORT, desk())])));
 
-    assert_eq!(rosters(&told).iter().filter(|(_, word)| word.version == 3).count(), 11);
+    assert_eq!(gossip_messages(&sent).iter().filter(|(_, gossip)| gossip.version == 3).count(), 11);
 }
 
 /// Guards against clients of lost flows that wait for seconds after a server was removed. A
 /// balancer of another failure domain sends only every few seconds and had reported one agent more.
 #[test]
-fn an_old_count_of_agents_does_not_delay_resets() {
+fn an_outdated_count_of_agents_does_not_delay_resets() {
     let mut balancer = fixture::balancer(&[1, 2]);
     for now in (0..=3_000).step_by(500) {
         for number in 40..=80 {
@@ -196,27 +200,30 @@
 /// Guards against balancers that exchange address lists for seconds after a balancer died, because
 /// one side has not removed it yet. One list per view is enough, and another in case it was lost.
 #[test]
-fn views_that_differ_are_told_rarely() {
+fn differing_views_are_answered_rarely() {
     let mut balancer = balancer(1);
     let differs = Gossip { digest: 7, ..roster(1, &[], 3) };
 
-    let tellings: Vec<usize> = [0, 100, 500, 1_000, 4_100]
+    let lists: Vec<usize> = [0, 100, 500, 1_000, 4_100]
         .into_iter()
         .map(|now| balancer.handle(at(now), Event::Gossip(host(2), differs.clone())))
         .map(|actions| {
-            rosters(&actions).iter().filter(|(_, word)| !word.balancers.is_empty()).count()
+            gossip_messages(&actions)
+                .iter()
+                .filter(|(_, gossip)| !gossip.balancers.is_empty())
+                .count()
         })
         .collect();
 
-    assert_eq!(tellings, vec![1, 0, 0, 0, 1]);
+    assert_eq!(lists, vec![1, 0, 0, 0, 1]);
 }
 
-fn rosters(actions: &[Action]) -> Vec<(Ipv4Addr, Gossip)> {
-    let roster = |action: &Action| match action {
-        Action::Send(to, Message::Gossip(word)) => Some((*to, word.clone())),
+fn gossip_messages(actions: &[Action]) -> Vec<(Ipv4Addr, Gossip)> {
+    let gossip = |action: &Action| match action {
+        Action::Send(to, Message::Gossip(gossip)) => Some((*to, gossip.clone())),
         _ => None,
     };
-    actions.iter().filter_map(roster).collect()
+    actions.iter().filter_map(gossip).collect()
 }
 
 fn list(number: u64) -> Checkpoint {
@@ -224,17 +231,17 @@
 }
 
 #[test]
-fn lists_are_gathered_for_one_write() {
+fn lists_are_collected_for_one_write() {
     let mut balancer = balancer(1);
     for agent in 1..=9 {
         balancer.handle(at(u64::from(agent) * 50), Event::SaveFlows(host(agent), list(1)));
     }
 
     let early = balancer.handle(at(900), Event::Tick);
-    let ripe = balancer.handle(at(1_100), Event::Tick);
+    let due = balancer.handle(at(1_100), Event::Tick);
 
     assert_eq!(committed(&early), None);
-    assert_eq!(committed(&ripe).map(|lists| lists.len()), Some(9));
+    assert_eq!(committed(&due).map(|lists| lists.len()), Some(9));
 }
 
 #[test]
@@ -262,7 +269,7 @@
 }
 
 #[test]
-fn agents_hear_which_lists_are_written() {
+fn agents_are_notified_of_saved_lists() {
     let mut balancer = balancer(1);
 
     let actions = balancer.handle(at(10), Event::Committed(vec![(host(1), 5)]));
@@ -280,7 +287,7 @@
 /// Guards against a list that is lost because a balancer dies before it saves it. The agent sends
 /// it to the second delegate, and saves it itself if that is silent too.
 #[test]
-fn a_list_finds_its_way_past_silent_balancers() {
+fn a_list_is_saved_when_balancers_are_silent() {
     let mut handover = Handover::default();
     let delegates = [host(1), host(2)];
     handover.begin(list(1));
@@ -326,22 +333,22 @@
 /// Guards against billed calls of every agent that retries by itself while the store is
 /// unreachable.
 #[test]
-fn a_list_waits_while_the_store_answers_no_balancer() {
+fn a_list_waits_while_the_store_is_unreachable() {
     let mut handover = Handover::default();
     handover.begin(list(1));
     handover.step(at(0), &[host(1)], true, MANY);
 
-    let away = handover.step(at(3_000), &[host(1)], false, MANY);
-    let back = handover.step(at(3_100), &[host(1)], true, MANY);
+    let unreachable = handover.step(at(3_000), &[host(1)], false, MANY);
+    let reachable = handover.step(at(3_100), &[host(1)], true, MANY);
 
-    assert_eq!(away, None);
-    assert_eq!(back, Some(Step::Deposit(host(1), list(1))));
+    assert_eq!(unreachable, None);
+    assert_eq!(reachable, Some(Step::Deposit(host(1), list(1))));
 }
 
 /// Guards against lists that are never saved after the host's clock was set back, because the lists
 /// of the previous process have higher numbers.
 #[test]
-fn a_list_gets_a_number_behind_the_one_that_is_there() {
+fn a_list_gets_a_higher_number_than_the_saved_one() {
     let mut handover = Handover::default();
     handover.begin(list(3));
     handover.step(at(0), &[host(1)], true, MANY);
@@ -357,7 +364,7 @@
 /// An agent that knows a balancer of its failure domain sends its list to it and makes no store
 /// call of its own.
 #[test]
-fn an_agent_hands_its_list_to_a_balancer() {
+fn an_agent_sends_its_list_to_a_balancer() {
     let mut agent = agent();
     agent.handle(at(0), agent::Event::Recovered(None));
     agent.handle(at(1), agent::Event::Heartbeat(heartbeat("a", 1)));
@@ -367,8 +374,8 @@
 
     let actions = agent.handle(at(3_100), agent::Event::Tick);
 
-    let deposits = |action: &&agent::Action| matches!(action, agent::Action::Send(BALANCER, Message::SaveFlows(list)) if list.flows.len() == 1);
-    assert_eq!(actions.iter().filter(deposits).count(), 1, "{actions:?}");
+    let is_save_request = |action: &&agent::Action| matches!(action, agent::Action::Send(BALANCER, Message::SaveFlows(list)) if list.flows.len() == 1);
+    assert_eq!(actions.iter().filter(is_save_request).count(), 1, "{actions:?}");
     assert!(!actions.iter().any(|action| matches!(action, agent::Action::Save(_))));
 }
 
@@ -376,7 +383,7 @@
 /// had been sent to a balancer that was killed, and that would have saved each of them alone
 /// anyway.
 #[test]
-fn lists_of_few_agents_are_written_by_themselves() {
+fn lists_of_few_agents_are_written_separately() {
     let delegates = [host(1), host(2)];
     let first = |agents| {
         let mut handover = Handover::default();
@@ -390,15 +397,15 @@
 }
 
 #[test]
-fn a_list_of_few_agents_waits_while_the_store_answers_nobody() {
+fn a_list_of_few_agents_waits_while_the_store_is_unreachable() {
     let mut handover = Handover::default();
     handover.begin(list(1));
 
-    let away = handover.step(at(0), &[host(1)], false, 3);
-    let back = handover.step(at(500), &[host(1)], true, 3);
+    let unreachable = handover.step(at(0), &[host(1)], false, 3);
+    let reachable = handover.step(at(500), &[host(1)], true, 3);
 
-    assert_eq!(away, None);
-    assert_eq!(back, Some(Step::Write(list(1))));
+    assert_eq!(unreachable, None);
+    assert_eq!(reachable, Some(Step::Write(list(1))));
 }
 
 /// An agent determines the number of agents in its failure domain from the states of balancers of
@@ -409,8 +416,8 @@
     agent.handle(at(0), agent::Event::Recovered(None));
     agent.handle(at(1), agent::Event::Heartbeat(heartbeat("a", 1)));
     agent.handle(at(3_000), agent::Event::Roster(BALANCER, roster(1, &[], 10)));
-    let far = Gossip { domain: "tema".into(), ..roster(1, &[], 10) };
-    agent.handle(at(3_000), agent::Event::Roster(host(9), far));
+    let remote = Gossip { domain: "tema".into(), ..roster(1, &[], 10) };
+    agent.handle(at(3_000), agent::Event::Roster(host(9), remote));
     open(&mut agent, 3_000, flow(1), demand(false));
     ask(&mut agent, 3_002, flow(1), 1_001);
 
@@ -423,7 +430,7 @@
 /// Guards against a second change that takes effect half a second late in a whole failure domain,
 /// because both delegates received the first one together and paused for the same time.
 #[test]
-fn two_delegates_that_heard_together_watch_again_in_turns() {
+fn delegates_that_receive_a_change_together_watch_in_turns() {
     let waited_ms = 5_000;
     let (mut first, mut second) = (Vec::new(), Vec::new());
     let watches = |rank, times: &mut Vec<u64>| {
--- a/crates/nutmegkeel_core/tests/l4/fetch.rs
+++ b/crates/nutmegkeel_core/tests/l4/fetch.rs
@@ -19,7 +19,7 @@
     Time::ZERO.after(millis)
 }
 
-fn asker(number: u8) -> Plan {
+fn requester(number: u8) -> Plan {
     Plan::open(Ipv4Addr::new(10, 0, 1, number))
 }
 
@@ -37,11 +37,11 @@
 /// delegate in the same millisecond. Requests must spread over time and over both delegates that
 /// have it.
 #[test]
-fn the_askers_of_a_failure_domain_spread_over_time_and_delegates() {
+fn requests_of_a_failure_domain_spread_over_time_and_delegates() {
     let mut times = BTreeSet::new();
-    let mut of_first = 0;
+    let mut to_first = 0;
     for number in 0..40 {
-        let mut plan = asker(number);
+        let mut plan = requester(number);
         plan.add_holder(at(0), holder(FIRST, 7));
         plan.add_holder(at(0), holder(SECOND, 7));
 
@@ -49,17 +49,17 @@
 
         assert!(millis < SPREAD_MS, "asked after {millis} ms");
         times.insert(millis);
-        of_first += usize::from(from == FIRST);
+        to_first += usize::from(from == FIRST);
     }
     assert!(times.len() > 15, "{times:?}");
-    assert!((10..30).contains(&of_first), "{of_first} of 40 asked the first");
+    assert!((10..30).contains(&to_first), "{to_first} of 40 asked the first");
 }
 
 /// Guards against a process that waits until its timeout for a hung connection, although the other
 /// delegate has the same configuration.
 #[test]
-fn a_second_holder_is_asked_soon_when_the_first_is_silent() {
-    let mut plan = asker(1);
+fn a_second_holder_is_called_soon_when_the_first_is_silent() {
+    let mut plan = requester(1);
     plan.add_holder(at(0), holder(FIRST, 7));
     plan.add_holder(at(0), holder(SECOND, 7));
     let (first_at, first) = call(&mut plan, 0).expect("it asks");
@@ -75,8 +75,8 @@
 /// Only one process has the configuration and the connection to it hangs: a new connection may
 /// work.
 #[test]
-fn the_only_holder_is_asked_again_on_another_connection() {
-    let mut plan = asker(1);
+fn the_only_holder_is_called_again_on_another_connection() {
+    let mut plan = requester(1);
     plan.add_holder(at(0), holder(FIRST, 7));
     let (first_at, _) = call(&mut plan, 0).expect("it asks");
 
@@ -91,36 +91,36 @@
 /// which would load a slow link. A newer one that is reported during the fetch is requested at
 /// once.
 #[test]
-fn an_answer_serves_for_all_that_told_of_it_and_not_for_newer_ones() {
-    let mut plan = asker(1);
+fn an_answer_satisfies_reports_of_its_version_but_not_of_newer_ones() {
+    let mut plan = requester(1);
     plan.add_holder(at(0), holder(FIRST, 7));
-    let (asked, from) = call(&mut plan, 0).expect("it asks");
-    plan.add_holder(at(asked), holder(SECOND, 7));
-    plan.finish_call(at(asked + 5), from, Some(7));
+    let (called, from) = call(&mut plan, 0).expect("it asks");
+    plan.add_holder(at(called), holder(SECOND, 7));
+    plan.finish_call(at(called + 5), from, Some(7));
     assert_eq!(plan.due(), None);
 
     plan.add_holder(at(200), holder(FIRST, 8));
-    let (asked, from) = call(&mut plan, 200).expect("it asks");
-    plan.add_holder(at(asked), holder(SECOND, 9));
-    plan.finish_call(at(asked + 5), from, Some(8));
+    let (called, from) = call(&mut plan, 200).expect("it asks");
+    plan.add_holder(at(called), holder(SECOND, 9));
+    plan.finish_call(at(called + 5), from, Some(8));
 
-    assert_eq!(call(&mut plan, asked + 5), Some((asked + 5, SECOND)));
+    assert_eq!(call(&mut plan, called + 5), Some((called + 5, SECOND)));
 }
 
 /// A holder that is stopping refuses the connection. The other one is called at once, and the first
 /// not before it reports a newer version again.
 #[test]
 fn a_refused_call_leads_to_the_other_holder_at_once() {
-    let mut plan = asker(1);
+    let mut plan = requester(1);
     plan.add_holder(at(0), holder(FIRST, 7));
     plan.add_holder(at(0), holder(SECOND, 7));
-    let (asked, first) = call(&mut plan, 0).expect("it asks");
+    let (called, first) = call(&mut plan, 0).expect("it asks");
 
-    plan.finish_call(at(asked + 1), first, None);
-    let (again, second) = call(&mut plan, asked + 1).expect("it asks the other");
+    plan.finish_call(at(called + 1), first, None);
+    let (again, second) = call(&mut plan, called + 1).expect("it asks the other");
     plan.finish_call(at(again + 1), second, None);
 
-    assert_eq!(again, asked + 1);
+    assert_eq!(again, called + 1);
     assert_ne!(first, second);
     assert_eq!(plan.due(), None);
     plan.add_holder(at(again + 2), holder(first, 7));
@@ -129,8 +129,8 @@
 
 /// A process that got the configuration from the store before its call was due calls nobody.
 #[test]
-fn what_came_another_way_is_not_asked_for() {
-    let mut plan = asker(1);
+fn a_configuration_from_the_store_is_not_fetched() {
+    let mut plan = requester(1);
     plan.add_holder(at(0), holder(FIRST, 7));
 
     plan.set_version(7);
@@ -143,15 +143,15 @@
 /// Guards against repeated calls to a holder that reports a version but serves an older one, which
 /// would keep it and its slow link busy.
 #[test]
-fn a_holder_that_brings_nothing_new_is_not_called_again_at_once() {
-    let mut plan = asker(1);
+fn a_holder_that_returns_an_old_version_is_not_called_again_at_once() {
+    let mut plan = requester(1);
     plan.set_version(6);
     plan.add_holder(at(0), holder(FIRST, 7));
-    let (asked, from) = call(&mut plan, 0).expect("it asks");
+    let (called, from) = call(&mut plan, 0).expect("it asks");
 
-    plan.finish_call(at(asked + 1), from, Some(6));
+    plan.finish_call(at(called + 1), from, Some(6));
 
-    assert_eq!(call(&mut plan, asked + 1), None);
-    plan.add_holder(at(asked + 500), holder(FIRST, 7));
-    assert!(call(&mut plan, asked + 500).is_some(), "it is called when it says so again");
+    assert_eq!(call(&mut plan, called + 1), None);
+    plan.add_holder(at(called + 500), holder(FIRST, 7));
+    assert!(call(&mut plan, called + 500).is_some(), "it is called when it says so again");
 }
--- a/crates/nutmegkeel_core/tests/l4/introduction.rs
+++ b/crates/nutmegkeel_core/tests/l4/introduction.rs
@@ -31,16 +31,16 @@
         let pause = usize::try_from(TICK_MS).expect("a short pause");
         for now in (0..=until_ms).step_by(pause) {
             let all: Vec<Ipv4Addr> = self.balancers.keys().copied().collect();
-            for speaker in all {
-                self.deliver(now, speaker);
+            for sender in all {
+                self.deliver(now, sender);
             }
         }
     }
 
-    fn deliver(&mut self, now: u64, speaker: Ipv4Addr) {
-        let mut sent = VecDeque::from(self.handle(now, speaker, Event::Tick));
-        while let Some((from, to, word)) = sent.pop_front() {
-            sent.extend(self.handle(now, to, Event::Gossip(from, word)));
+    fn deliver(&mut self, now: u64, sender: Ipv4Addr) {
+        let mut sent = VecDeque::from(self.handle(now, sender, Event::Tick));
+        while let Some((from, to, gossip)) = sent.pop_front() {
+            sent.extend(self.handle(now, to, Event::Gossip(from, gossip)));
         }
     }
 
@@ -51,10 +51,10 @@
         event: Event,
     ) -> Vec<(Ipv4Addr, Ipv4Addr, Gossip)> {
         let balancer = self.balancers.get_mut(&by).expect("a balancer of the fleet");
-        let words = words(balancer.handle(at(now), event));
-        let listed: usize = words.iter().map(|(_, word)| word.balancers.len()).sum();
+        let gossip_messages = gossip_messages(balancer.handle(at(now), event));
+        let listed: usize = gossip_messages.iter().map(|(_, gossip)| gossip.balancers.len()).sum();
         *self.addresses.entry(by).or_default() += listed;
-        words.into_iter().map(|(to, word)| (by, to, word)).collect()
+        gossip_messages.into_iter().map(|(to, gossip)| (by, to, gossip)).collect()
     }
 
     fn least_known(&self) -> usize {
@@ -67,12 +67,12 @@
     }
 }
 
-fn words(actions: Vec<Action>) -> Vec<(Ipv4Addr, Gossip)> {
-    let word = |action| match action {
-        Action::Send(to, Message::Gossip(word)) => Some((to, word)),
+fn gossip_messages(actions: Vec<Action>) -> Vec<(Ipv4Addr, Gossip)> {
+    let gossip = |action| match action {
+        Action::Send(to, Message::Gossip(gossip)) => Some((to, gossip)),
         _ => None,
     };
-    actions.into_iter().filter_map(word).collect()
+    actions.into_iter().filter_map(gossip).collect()
 }
 
 /// Guards against address lists that fill the links when a fleet starts: one list per pair grows
@@ -102,9 +102,10 @@
     let mut lists = 0;
     for agent in 61..=200 {
         let first = Event::Announced(host(agent), word(1, State::Ready, Load::default()));
-        let words = words(balancer.handle(at(10), first));
-        answered.extend(words.iter().filter(|(to, _)| *to == host(agent)).map(|(to, _)| *to));
-        lists += words.iter().filter(|(_, word)| !word.balancers.is_empty()).count();
+        let gossip_messages = gossip_messages(balancer.handle(at(10), first));
+        answered
+            .extend(gossip_messages.iter().filter(|(to, _)| *to == host(agent)).map(|(to, _)| *to));
+        lists += gossip_messages.iter().filter(|(_, gossip)| !gossip.balancers.is_empty()).count();
     }
 
     assert_eq!(answered.len(), 140);
@@ -114,30 +115,30 @@
 /// Guards against balancers that start together and discover each other late, because one sent its
 /// first message before the other listened.
 #[test]
-fn a_young_balancer_speaks_again_to_those_that_have_not_answered() {
+fn a_recently_started_balancer_sends_again_to_peers_that_have_not_answered() {
     let mut balancer =
         Balancer::open(at(0), identity(BALANCER, Policy::default()), &[host(1), host(2)]);
     balancer.handle(at(0), Event::Tick);
     balancer.handle(at(10), Event::Gossip(host(1), roster(1, &[], 0)));
 
-    let told: Vec<Ipv4Addr> = (50..=3_000)
+    let receivers: Vec<Ipv4Addr> = (50..=3_000)
         .step_by(50)
-        .flat_map(|now| words(balancer.handle(at(now), Event::StoreAnswered(true))))
+        .flat_map(|now| gossip_messages(balancer.handle(at(now), Event::StoreAnswered(true))))
         .map(|(to, _)| to)
         .collect();
 
-    assert!(told.iter().all(|to| *to == host(2)), "{told:?}");
-    assert!((10..=21).contains(&told.len()), "{} words", told.len());
+    assert!(receivers.iter().all(|to| *to == host(2)), "{receivers:?}");
+    assert!((10..=21).contains(&receivers.len()), "{} words", receivers.len());
 }
 
 /// Guards against an agent that never learns of a new balancer, so that searches of that balancer
 /// miss it: agents always announce themselves in the same order, and those that do so first got all
 /// the lists.
 #[test]
-fn no_agent_is_left_without_a_list_because_others_speak_before_it() {
+fn every_agent_gets_a_list_although_others_announce_themselves_first() {
     let open = |number| Balancer::open(at(0), identity(host(number), Policy::default()), &[]);
     let mut balancers: Vec<Balancer> = (1..=20).map(open).collect();
-    let mut served: BTreeMap<Ipv4Addr, u64> = BTreeMap::new();
+    let mut last_list: BTreeMap<Ipv4Addr, u64> = BTreeMap::new();
     let mut longest_ms = 0;
 
     for (number, now) in (0_u8..40).zip((0..).step_by(300)) {
@@ -147,14 +148,14 @@
             }
         }
         for agent in 21..=80 {
-            let spoken = word(1 + now / 300, State::Ready, Load::default());
+            let announcement = word(1 + now / 300, State::Ready, Load::default());
             for balancer in &mut balancers {
-                let event = Event::Announced(host(agent), spoken.clone());
-                if gets_list(&words(balancer.handle(at(now), event)), host(agent)) {
-                    served.insert(host(agent), now);
+                let event = Event::Announced(host(agent), announcement.clone());
+                if gets_list(&gossip_messages(balancer.handle(at(now), event)), host(agent)) {
+                    last_list.insert(host(agent), now);
                 }
             }
-            let since = served.get(&host(agent)).copied().unwrap_or_default();
+            let since = last_list.get(&host(agent)).copied().unwrap_or_default();
             longest_ms = longest_ms.max(now - since);
         }
     }
@@ -162,6 +163,6 @@
     assert!(longest_ms <= 1_500, "{longest_ms} ms without a list");
 }
 
-fn gets_list(words: &[(Ipv4Addr, Gossip)], process: Ipv4Addr) -> bool {
-    words.iter().any(|(to, word)| *to == process && !word.balancers.is_empty())
+fn gets_list(gossip_messages: &[(Ipv4Addr, Gossip)], process: Ipv4Addr) -> bool {
+    gossip_messages.iter().any(|(to, gossip)| *to == process && !gossip.balancers.is_empty())
 }
--- a/crates/nutmegkeel_core/tests/l4/search.rs
+++ b/crates/nutmegkeel_core/tests/l4/search.rs
@@ -12,19 +12,19 @@
 use crate::fixture::{BALANCER, PORT, at, data, desk, flow, host, identity, table, word};
 
 /// Number of agents in the balancer's own failure domain, and in all domains.
-const NEAR: u8 = 12;
+const LOCAL_AGENTS: u8 = 12;
 const AGENTS: u8 = 60;
 
 /// Round-trip time within a failure domain and between two, in milliseconds.
-const NEAR_MS: u64 = 1;
-const FAR_MS: u64 = 11;
+const LOCAL_MS: u64 = 1;
+const REMOTE_MS: u64 = 11;
 
 /// Time within which an answer is in time, in milliseconds.
 const OBJECTIVE_MS: u64 = 250;
 
 /// How an agent answers queries for the flow.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Knowledge {
+enum Behavior {
     /// It reports that its server does not hold the flow.
     Absent,
     /// It does not know. Its server, asked with a packet, denies the flow.
@@ -39,14 +39,14 @@
 struct Fleet {
     balancer: Balancer,
     now: u64,
-    knowledge: BTreeMap<Ipv4Addr, Knowledge>,
+    behaviors: BTreeMap<Ipv4Addr, Behavior>,
     answers: BTreeMap<(u64, usize), Event>,
     kept: BTreeMap<Flow, Head>,
     /// Agents that were asked, with the time and whether they got the packet.
     asked: Vec<(u64, Ipv4Addr, bool)>,
     /// When the flow was reset, and when an agent reported that it holds it.
-    told: Option<u64>,
-    found: Option<u64>,
+    reset_at: Option<u64>,
+    found_at: Option<u64>,
     /// Agents to restart, one with each announcement.
     restarted: Vec<Ipv4Addr>,
 }
@@ -60,12 +60,12 @@
         let mut fleet = Self {
             balancer,
             now: 0,
-            knowledge: (1..=agents).map(|number| (host(number), Knowledge::Absent)).collect(),
+            behaviors: (1..=agents).map(|number| (host(number), Behavior::Absent)).collect(),
             answers: BTreeMap::new(),
             kept: BTreeMap::new(),
             asked: Vec::new(),
-            told: None,
-            found: None,
+            reset_at: None,
+            found_at: None,
             restarted: Vec::new(),
         };
         fleet.run(3_000);
@@ -75,16 +75,16 @@
 
     /// Lets a client send a packet of a flow repeatedly. Returns the time until the flow was reset.
     fn search(&mut self, packet: Head, for_ms: u64) -> Option<u64> {
-        (self.told, self.found) = (None, None);
+        (self.reset_at, self.found_at) = (None, None);
         self.asked.clear();
-        let begun = self.now;
+        let started = self.now;
         let mut pause_ms = 200;
-        while self.now < begun + for_ms && self.told.is_none() && self.found.is_none() {
+        while self.now < started + for_ms && self.reset_at.is_none() && self.found_at.is_none() {
             self.handle(Event::Client(packet), Some(packet));
             self.run(pause_ms);
             pause_ms = (2 * pause_ms).min(1_600);
         }
-        self.told.map(|told| told - begun)
+        self.reset_at.map(|reset_at| reset_at - started)
     }
 
     fn run(&mut self, for_ms: u64) {
@@ -110,13 +110,13 @@
 
     fn announce(&mut self) {
         let restarted = self.restarted.pop();
-        let speakers = self.knowledge.iter().filter(|(_, one)| **one != Knowledge::Mute);
-        for (agent, _) in speakers {
+        let announcing = self.behaviors.iter().filter(|(_, one)| **one != Behavior::Mute);
+        for (agent, _) in announcing {
             let mut word = word(self.now + 100, State::Ready, Load::default());
             if restarted == Some(*agent) {
                 word.incarnation = self.now;
             }
-            if agent.octets()[3] > NEAR {
+            if agent.octets()[3] > LOCAL_AGENTS {
                 word.domain = "tema".into();
             }
             self.balancer.handle(at(self.now), Event::Announced(*agent, word));
@@ -132,7 +132,7 @@
                 }
                 Action::Send(agent, Message::Locate { flow }) => self.ask(agent, flow, None),
                 Action::Keep(head) => drop(self.kept.insert(head.flow, head)),
-                Action::Reset { .. } => self.told = self.told.or(Some(self.now)),
+                Action::Reset { .. } => self.reset_at = self.reset_at.or(Some(self.now)),
                 Action::RecallFlow(flow) => self.recall(flow),
                 Action::Recall => {
                     let flows: Vec<Flow> = self.kept.keys().copied().collect();
@@ -152,19 +152,19 @@
     fn ask(&mut self, from: Ipv4Addr, flow: Flow, head: Option<Head>) {
         self.asked.push((self.now, from, head.is_some()));
         let load = Load::default();
-        let answer = match (self.knowledge[&from], head) {
-            (Knowledge::Mute, _) => return,
-            (Knowledge::Absent, None) => Event::Absent { from, flow, load },
-            (Knowledge::Unsure | Knowledge::Holder, None) => Event::Unsure { from, flow, load },
-            (Knowledge::Holder, Some(_)) => Event::Holds { from, flow, load },
-            (Knowledge::Absent | Knowledge::Unsure, Some(head)) => {
+        let answer = match (self.behaviors[&from], head) {
+            (Behavior::Mute, _) => return,
+            (Behavior::Absent, None) => Event::Absent { from, flow, load },
+            (Behavior::Unsure | Behavior::Holder, None) => Event::Unsure { from, flow, load },
+            (Behavior::Holder, Some(_)) => Event::Holds { from, flow, load },
+            (Behavior::Absent | Behavior::Unsure, Some(head)) => {
                 Event::Declined { from, head, reason: Reason::NotHeld, load }
             }
         };
         if matches!(answer, Event::Holds { .. }) {
-            self.found = self.found.or(Some(self.now));
+            self.found_at = self.found_at.or(Some(self.now));
         }
-        let round_ms = if from.octets()[3] > NEAR { FAR_MS } else { NEAR_MS };
+        let round_ms = if from.octets()[3] > LOCAL_AGENTS { REMOTE_MS } else { LOCAL_MS };
         self.answers.insert((self.now + round_ms, self.asked.len()), answer);
     }
 
@@ -173,7 +173,7 @@
     fn most_packets_at_once(&self) -> usize {
         let mut most = BTreeMap::new();
         for (now, agent, _) in self.asked.iter().filter(|(.., packet)| *packet) {
-            if self.knowledge[agent] != Knowledge::Absent {
+            if self.behaviors[agent] != Behavior::Absent {
                 *most.entry(now).or_insert(0) += 1;
             }
         }
@@ -188,31 +188,31 @@
 /// Guards against a request on a lost flow that fails or is answered seconds late after a power
 /// loss, because the balancer asks 60 agents one by one, 11 ms each, before it resets the flow.
 #[test]
-fn a_client_of_a_lost_flow_is_told_while_there_is_time_for_another_try() {
+fn a_lost_flow_is_reset_in_time_for_another_try() {
     let mut fleet = Fleet::open(Policy::default(), AGENTS);
     let mut one_by_one = Fleet::open(Policy::without([Mechanism::WideSearch]), AGENTS);
 
     let wide = fleet.search(packet(1), 1_000);
-    let narrow = one_by_one.search(packet(1), 1_000);
+    let sequential = one_by_one.search(packet(1), 1_000);
 
-    println!("told after {wide:?} ms, asked one by one after {narrow:?} ms");
-    assert!(wide.is_some_and(|told| told <= OBJECTIVE_MS / 2), "{wide:?}");
-    assert!(narrow.is_none_or(|told| told > OBJECTIVE_MS), "{narrow:?}");
+    println!("told after {wide:?} ms, asked one by one after {sequential:?} ms");
+    assert!(wide.is_some_and(|reset_ms| reset_ms <= OBJECTIVE_MS / 2), "{wide:?}");
+    assert!(sequential.is_none_or(|reset_ms| reset_ms > OBJECTIVE_MS), "{sequential:?}");
 }
 
 /// An agent in another failure domain has restarted next to a live server, and only the server
 /// knows the flow. The packet must find it without reaching several servers at once.
 #[test]
-fn an_agent_that_is_not_sure_is_asked_with_the_packet() {
+fn an_agent_that_needs_the_packet_is_asked_with_it() {
     let mut fleet = Fleet::open(Policy::default(), AGENTS);
-    let unsure = (AGENTS - 9..AGENTS).map(|far| (host(far), Knowledge::Unsure));
-    fleet.knowledge.extend(unsure);
-    fleet.knowledge.insert(host(AGENTS), Knowledge::Holder);
+    let unsure = (AGENTS - 9..AGENTS).map(|remote| (host(remote), Behavior::Unsure));
+    fleet.behaviors.extend(unsure);
+    fleet.behaviors.insert(host(AGENTS), Behavior::Holder);
 
-    let told = fleet.search(packet(1), 1_000);
+    let reset_ms = fleet.search(packet(1), 1_000);
 
-    assert_eq!(told, None);
-    assert!(fleet.found.is_some());
+    assert_eq!(reset_ms, None);
+    assert!(fleet.found_at.is_some());
     assert_eq!(fleet.most_packets_at_once(), 1);
 }
 
@@ -220,35 +220,35 @@
 #[test]
 fn an_agent_that_does_not_answer_is_not_ruled_out() {
     let mut fleet = Fleet::open(Policy::default(), AGENTS);
-    fleet.knowledge.insert(host(AGENTS - 3), Knowledge::Mute);
+    fleet.behaviors.insert(host(AGENTS - 3), Behavior::Mute);
 
-    let told = fleet.search(packet(1), 1_200);
+    let reset_ms = fleet.search(packet(1), 1_200);
 
-    assert_eq!(told, None);
+    assert_eq!(reset_ms, None);
 }
 
 /// Guards against clients of lost flows that wait until their deadline in a large fleet, where some
 /// agent restarts at any time and each new process made the balancer assume that others are
 /// unknown.
 #[test]
-fn a_client_of_a_lost_flow_is_told_while_agents_are_restarted_one_by_one() {
+fn a_lost_flow_is_reset_while_agents_restart_one_by_one() {
     let mut fleet = Fleet::open(Policy::default(), 200);
     fleet.restarted = (1..=40).map(host).collect();
     fleet.run(1_000);
 
-    let told = fleet.search(packet(1), 2_000);
+    let reset_ms = fleet.search(packet(1), 2_000);
 
-    assert!(told.is_some_and(|told| told <= OBJECTIVE_MS), "{told:?}");
+    assert!(reset_ms.is_some_and(|reset_ms| reset_ms <= OBJECTIVE_MS), "{reset_ms:?}");
 }
 
 /// Where asking agents one by one is fast enough, no needless queries are sent: a flow that has
 /// moved to another balancer is found with the first ones.
 #[test]
 fn a_small_fleet_is_asked_one_by_one() {
-    let mut fleet = Fleet::open(Policy::default(), NEAR);
+    let mut fleet = Fleet::open(Policy::default(), LOCAL_AGENTS);
 
-    let told = fleet.search(packet(1), 1_000);
+    let reset_ms = fleet.search(packet(1), 1_000);
 
-    assert!(told.is_some());
+    assert!(reset_ms.is_some());
     assert!(fleet.asked.iter().all(|(.., with_packet)| *with_packet), "{:?}", fleet.asked);
 }
--- a/crates/nutmegkeel_core/tests/l4/summary.rs
+++ b/crates/nutmegkeel_core/tests/l4/summary.rs
@@ -14,10 +14,10 @@
     BALANCER, DOMAIN, agent, at, desk, flow, heartbeat, host, identity, load, need, roster, word,
 };
 
-const FAR: &str = "tema";
+const REMOTE: &str = "tema";
 
 /// A balancer of another failure domain.
-const FAR_BALANCER: Ipv4Addr = Ipv4Addr::new(10, 0, 2, 1);
+const REMOTE_BALANCER: Ipv4Addr = Ipv4Addr::new(10, 0, 2, 1);
 
 fn report(number: u64, age_ms: u32) -> Report {
     Report {
@@ -40,23 +40,23 @@
 }
 
 fn summary(reports: Vec<Report>) -> Summary {
-    Summary { domain: FAR.into(), services: vec![desk()], reports, forwarded: false }
+    Summary { domain: REMOTE.into(), services: vec![desk()], reports, forwarded: false }
 }
 
 /// Sends a pool summaries of one remote agent every 300 ms. The agent was last seen at `last_ms`.
-fn summarise(pool: &mut Pool, last_ms: u64, until_ms: u64) {
+fn send_summaries(pool: &mut Pool, last_ms: u64, until_ms: u64) {
     for now in (0..=until_ms).step_by(300) {
-        let signed = now.min(last_ms);
-        let age_ms = u32::try_from(now - signed).expect("a short test");
-        pool.reported(at(now), &summary(Vec::new()), &report(1 + signed / 300, age_ms));
+        let seen = now.min(last_ms);
+        let age_ms = u32::try_from(now - seen).expect("a short test");
+        pool.reported(at(now), &summary(Vec::new()), &report(1 + seen / 300, age_ms));
     }
 }
 
 #[test]
-fn an_agent_that_others_hear_is_fresh() {
+fn an_agent_in_recent_summaries_is_fresh() {
     let mut pool = pool();
 
-    summarise(&mut pool, 3_000, 3_000);
+    send_summaries(&mut pool, 3_000, 3_000);
 
     assert_eq!(pool.health(at(3_200), host(1)), Some(Health::Fresh));
     assert_eq!(pool.open_agents(at(3_200), &need(flow(1).key(), Kind::Once, &[])), 1);
@@ -65,12 +65,12 @@
 /// Guards against openings that go to a dead host of another failure domain much longer than to one
 /// of the same domain.
 #[test]
-fn an_agent_that_fell_silent_is_late_and_then_given_up() {
+fn a_silent_agent_is_late_and_then_given_up() {
     let mut pool = pool();
 
-    summarise(&mut pool, 3_000, 3_900);
+    send_summaries(&mut pool, 3_000, 3_900);
     let late = pool.health(at(3_900), host(1));
-    summarise(&mut pool, 3_000, 5_100);
+    send_summaries(&mut pool, 3_000, 5_100);
     let silent = pool.health(at(5_100), host(1));
 
     assert_eq!((late, silent), (Some(Health::Late), Some(Health::Silent)));
@@ -79,15 +79,15 @@
 /// Guards against resets of flows to another failure domain whose servers are alive, when all
 /// balancers there are killed at once and nobody reports its agents.
 #[test]
-fn agents_out_of_sight_get_no_flows_and_lose_none() {
+fn unseen_agents_get_no_flows_and_lose_none() {
     let mut pool = pool();
-    summarise(&mut pool, 3_000, 3_000);
+    send_summaries(&mut pool, 3_000, 3_000);
 
-    let blind: Vec<_> = [4_200, 7_000, 10_000].map(|now| pool.health(at(now), host(1))).into();
+    let unseen: Vec<_> = [4_200, 7_000, 10_000].map(|now| pool.health(at(now), host(1))).into();
     let open = pool.open_agents(at(4_200), &need(flow(1).key(), Kind::Once, &[]));
     let lost = pool.health(at(12_000), host(1));
 
-    assert_eq!(blind, vec![Some(Health::Late); 3]);
+    assert_eq!(unseen, vec![Some(Health::Late); 3]);
     assert_eq!(open, 0);
     assert_eq!(lost, Some(Health::Silent));
 }
@@ -96,9 +96,9 @@
 /// there had lost power, and the first one back reported only the few agents that it knew after two
 /// seconds of silence; the other agents must not be taken for silent.
 #[test]
-fn an_agent_that_a_summary_leaves_out_is_not_given_up() {
+fn an_agent_missing_from_a_summary_is_not_given_up() {
     let mut pool = pool();
-    summarise(&mut pool, 3_000, 3_000);
+    send_summaries(&mut pool, 3_000, 3_000);
 
     for now in [5_200, 5_500] {
         let other = Report { agent: host(2), ..report(1, 10) };
@@ -112,10 +112,10 @@
 /// A remote agent first announces itself directly, then only to the balancers of its own failure
 /// domain, whose first summary may be late.
 #[test]
-fn an_agent_elsewhere_that_introduced_itself_is_not_given_up() {
+fn a_remote_agent_that_announced_itself_directly_is_not_given_up() {
     let mut pool = pool();
     let mut direct = word(1, State::Ready, Load::default());
-    direct.domain = FAR.into();
+    direct.domain = REMOTE.into();
     pool.announced(at(0), host(1), direct);
 
     assert_eq!(pool.health(at(2_500), host(1)), Some(Health::Late));
@@ -125,11 +125,11 @@
 /// announced itself directly while its domain had no balancer, and then stopped; the balancer that
 /// carries the flow was about to stop and got no summaries.
 #[test]
-fn an_agent_elsewhere_that_spoke_for_itself_is_not_given_up_when_it_stops() {
+fn a_remote_agent_that_stops_announcing_itself_directly_is_not_given_up() {
     let mut pool = pool();
-    summarise(&mut pool, 3_000, 3_000);
+    send_summaries(&mut pool, 3_000, 3_000);
     let mut direct = word(50, State::Ready, Load::default());
-    direct.domain = FAR.into();
+    direct.domain = REMOTE.into();
     pool.announced(at(3_900), host(1), direct);
 
     let later: Vec<_> = [5_200, 6_500, 11_000].map(|now| pool.health(at(now), host(1))).into();
@@ -140,9 +140,9 @@
 
 /// The load that an agent sends with an answer is newer than that of a summary in transit.
 #[test]
-fn a_summary_does_not_bring_an_older_load_back() {
+fn a_summary_does_not_restore_an_older_load() {
     let mut pool = pool();
-    summarise(&mut pool, 3_000, 3_000);
+    send_summaries(&mut pool, 3_000, 3_000);
     pool.heard(at(3_250), host(1), load(9, 9));
 
     let change = pool.reported(at(3_300), &summary(Vec::new()), &report(12, 200));
@@ -155,7 +155,7 @@
 #[test]
 fn an_older_summary_changes_nothing() {
     let mut pool = pool();
-    summarise(&mut pool, 3_000, 3_000);
+    send_summaries(&mut pool, 3_000, 3_000);
 
     let change = pool.reported(at(3_300), &summary(Vec::new()), &report(2, 2_900));
 
@@ -175,21 +175,21 @@
     actions.iter().filter_map(summary).collect()
 }
 
-fn far_roster() -> Gossip {
-    Gossip { domain: FAR.into(), ..roster(1, &[], 1) }
+fn remote_gossip() -> Gossip {
+    Gossip { domain: REMOTE.into(), ..roster(1, &[], 1) }
 }
 
 /// Balancers of one failure domain that know each other, a remote balancer and one agent of their
 /// domain.
 fn domain(count: u8) -> Vec<Balancer> {
     let mut balancers: Vec<_> = (1..=count).map(balancer).collect();
-    tell(&mut balancers, 0, &[]);
+    exchange_gossip(&mut balancers, 0, &[]);
     balancers
 }
 
 /// Delivers the states of all but the silent balancers to each other, and of the agent and a remote
 /// balancer to all.
-fn tell(balancers: &mut [Balancer], now: u64, silent: &[u8]) {
+fn exchange_gossip(balancers: &mut [Balancer], now: u64, silent: &[u8]) {
     let count = u8::try_from(balancers.len()).expect("few balancers");
     for (index, balancer) in balancers.iter_mut().enumerate() {
         for peer in (1..=count).filter(|peer| usize::from(*peer) != index + 1) {
@@ -197,7 +197,7 @@
                 balancer.handle(at(now), Event::Gossip(host(peer), roster(1, &[], 1)));
             }
         }
-        balancer.handle(at(now), Event::Gossip(FAR_BALANCER, far_roster()));
+        balancer.handle(at(now), Event::Gossip(REMOTE_BALANCER, remote_gossip()));
         let word = word(1 + now, State::Ready, Load::default());
         balancer.handle(at(now), Event::Announced(host(99), word));
     }
@@ -205,21 +205,26 @@
 
 /// Returns the times from `from_ms` on, in milliseconds, at which a remote balancer receives a
 /// report of the agent.
-fn heard(balancers: &mut [Balancer], from_ms: u64, until_ms: u64, silent: &[u8]) -> Vec<u64> {
+fn report_times(
+    balancers: &mut [Balancer],
+    from_ms: u64,
+    until_ms: u64,
+    silent: &[u8],
+) -> Vec<u64> {
     let mut times = Vec::new();
     for now in (from_ms..=until_ms).step_by(50) {
         for (index, balancer) in balancers.iter_mut().enumerate() {
             let is_silent = silent.iter().any(|number| usize::from(*number) == index + 1);
             let sent = summaries(&balancer.handle(at(now), Event::Tick));
-            let to_far = sent.iter().any(|(to, summary)| {
-                *to == FAR_BALANCER && summary.reports.iter().any(|one| one.agent == host(99))
+            let to_remote = sent.iter().any(|(to, summary)| {
+                *to == REMOTE_BALANCER && summary.reports.iter().any(|one| one.agent == host(99))
             });
-            if to_far && !is_silent {
+            if to_remote && !is_silent {
                 times.push(now);
             }
         }
         if now.is_multiple_of(500) {
-            tell(balancers, now, silent);
+            exchange_gossip(balancers, now, silent);
         }
     }
     times
@@ -230,10 +235,10 @@
 }
 
 #[test]
-fn a_failure_domain_is_told_of_with_each_beat() {
+fn a_failure_domain_is_reported_in_each_slot() {
     let mut balancers = domain(12);
 
-    let times = heard(&mut balancers, 50, 8_000, &[]);
+    let times = report_times(&mut balancers, 50, 8_000, &[]);
 
     assert!(longest_gap(&times) <= 350, "{times:?}");
     assert!(times.len() <= 2 * 8_000 / 300 + 4, "{times:?}");
@@ -242,10 +247,10 @@
 /// Guards against agents that others cannot see because the balancer whose turn it is has died. The
 /// next one in turn is enough.
 #[test]
-fn a_dead_balancer_misses_its_turn_and_no_more() {
+fn a_dead_balancer_only_misses_its_turns() {
     let mut balancers = domain(12);
 
-    let times = heard(&mut balancers, 50, 8_000, &[5]);
+    let times = report_times(&mut balancers, 50, 8_000, &[5]);
 
     assert!(longest_gap(&times) <= 350, "{times:?}");
 }
@@ -253,10 +258,10 @@
 /// Half of a domain's balancers are killed at once. The others must take over within a second,
 /// before the agents there are taken for unseen for long.
 #[test]
-fn the_rest_of_a_failure_domain_goes_on_telling() {
+fn the_remaining_balancers_continue_to_report() {
     let mut balancers = domain(12);
 
-    let times = heard(&mut balancers, 50, 8_000, &[1, 3, 5, 7, 9, 11]);
+    let times = report_times(&mut balancers, 50, 8_000, &[1, 3, 5, 7, 9, 11]);
 
     assert!(longest_gap(&times) <= 650, "{times:?}");
 }
@@ -264,31 +269,33 @@
 /// Guards against openings whose last copies go to a dead host of another failure domain too,
 /// because the balancers of other domains learn of its silence only with the next summary.
 #[test]
-fn a_late_agent_is_told_of_at_once() {
+fn a_late_agent_is_reported_at_once() {
     let mut balancers = domain(2);
 
-    let told: Vec<u64> = (50..=1_500)
+    let times: Vec<u64> = (50..=1_500)
         .step_by(50)
         .filter(|now| {
             let actions: Vec<Action> = balancers
                 .iter_mut()
                 .flat_map(|balancer| balancer.handle(at(*now), Event::Tick))
                 .collect();
-            let of_late = |summary: &Summary| summary.reports.iter().any(|one| one.age_ms > 700);
-            let told = summaries(&actions);
-            told.iter().any(|(to, one)| *to == FAR_BALANCER && one.forwarded && of_late(one))
+            let reports_late =
+                |summary: &Summary| summary.reports.iter().any(|one| one.age_ms > 700);
+            let sent = summaries(&actions);
+            sent.iter()
+                .any(|(to, one)| *to == REMOTE_BALANCER && one.forwarded && reports_late(one))
         })
         .collect();
 
-    assert_eq!(told, vec![750]);
+    assert_eq!(times, vec![750]);
 }
 
 #[test]
-fn a_summary_is_passed_on_at_home_once() {
+fn a_summary_is_forwarded_once_within_the_domain() {
     let mut balancers = domain(3);
 
-    let heard = Event::Summary(summary(vec![report(1, 10)]));
-    let first = summaries(&balancers[0].handle(at(10), heard));
+    let received = Event::Summary(summary(vec![report(1, 10)]));
+    let first = summaries(&balancers[0].handle(at(10), received));
     let again = summaries(&balancers[1].handle(at(11), Event::Summary(first[0].1.clone())));
 
     assert_eq!(first.iter().map(|(to, _)| *to).collect::<Vec<_>>(), vec![host(2), host(3)]);
@@ -296,7 +303,7 @@
 }
 
 /// Returns the numbers of the reports that a balancer forwards to one other of its domain.
-fn passed_on(balancer: &mut Balancer, now: u64, reports: Vec<Report>) -> Vec<u64> {
+fn forwarded(balancer: &mut Balancer, now: u64, reports: Vec<Report>) -> Vec<u64> {
     let sent = summaries(&balancer.handle(at(now), Event::Summary(summary(reports))));
     let to_one = sent.iter().filter(|(to, _)| *to == host(2));
     to_one.flat_map(|(_, one)| one.reports.iter().map(|report| report.number)).collect()
@@ -305,15 +312,15 @@
 /// Guards against duplicate reports by two senders of one slot that fill the links of a large
 /// failure domain, and against agents taken for unseen because their reports do not change.
 #[test]
-fn what_was_told_a_moment_ago_is_not_passed_on() {
+fn recent_reports_are_not_forwarded_again() {
     let mut balancers = domain(3);
     let balancer = &mut balancers[0];
     let other = Report { agent: host(9), ..report(7, 10) };
 
-    let first = passed_on(balancer, 10, vec![report(1, 10), other.clone()]);
-    let repeated = passed_on(balancer, 30, vec![report(1, 30), other.clone()]);
-    let newer = passed_on(balancer, 40, vec![report(2, 0), other.clone()]);
-    let next_slot = passed_on(balancer, 310, vec![report(2, 270), other]);
+    let first = forwarded(balancer, 10, vec![report(1, 10), other.clone()]);
+    let repeated = forwarded(balancer, 30, vec![report(1, 30), other.clone()]);
+    let newer = forwarded(balancer, 40, vec![report(2, 0), other.clone()]);
+    let next_slot = forwarded(balancer, 310, vec![report(2, 270), other]);
 
     assert_eq!(first, [1, 7]);
     assert_eq!(repeated, Vec::<u64>::new());
@@ -324,15 +331,15 @@
 /// Guards against a stopping balancer that loses track of remote agents while it still carries
 /// flows to them. It must still get summaries, but an address list with it must not add it again.
 #[test]
-fn a_leaving_balancer_goes_on_hearing_of_others() {
+fn a_leaving_balancer_still_gets_summaries() {
     let mut balancers = domain(3);
     let leaving = Gossip { leaving: true, ..roster(1, &[], 1) };
     balancers[0].handle(at(10), Event::Gossip(host(2), leaving));
 
-    let passed = balancers[0].handle(at(20), Event::Summary(summary(vec![report(1, 10)])));
+    let forwarded = balancers[0].handle(at(20), Event::Summary(summary(vec![report(1, 10)])));
     let listed = balancers[0].handle(at(30), Event::Gossip(host(3), roster(1, &[host(2)], 1)));
 
-    let to: Vec<_> = summaries(&passed).into_iter().map(|(to, _)| to).collect();
+    let to: Vec<_> = summaries(&forwarded).into_iter().map(|(to, _)| to).collect();
     assert_eq!(to, vec![host(2), host(3)]);
     assert!(!listed.iter().any(|action| matches!(action, Action::Send(to, _) if *to == host(2))));
 }
@@ -340,26 +347,25 @@
 /// Guards against agents taken for dead while all balancers of their failure domain are stopping,
 /// which may take as long as downloads do.
 #[test]
-fn a_leaving_balancer_goes_on_telling_of_its_agents() {
+fn a_leaving_balancer_still_reports_its_agents() {
     let mut balancers = domain(2);
     for balancer in &mut balancers {
         balancer.handle(at(10), Event::Leave);
     }
 
-    let times = heard(&mut balancers, 50, 4_000, &[]);
+    let times = report_times(&mut balancers, 50, 4_000, &[]);
 
     assert!(longest_gap(&times) <= 350, "{times:?}");
 }
 
 #[test]
-fn a_leaving_balancer_says_so_until_it_ends() {
+fn a_leaving_balancer_reports_it_until_it_ends() {
     let mut balancers = domain(3);
     balancers[0].handle(at(10), Event::Leave);
 
     let actions = balancers[0].handle(at(510), Event::Tick);
 
-    let is_leaving =
-        |action: &&Action| matches!(action, Action::Send(_, Message::Gossip(word)) if word.leaving);
+    let is_leaving = |action: &&Action| matches!(action, Action::Send(_, Message::Gossip(gossip)) if gossip.leaving);
     assert_eq!(actions.iter().filter(is_leaving).count(), 3, "{actions:?}");
 }
 
@@ -372,16 +378,16 @@
 }
 
 /// An agent that has received the states of a local and a remote balancer.
-fn acquainted() -> agent::Agent {
+fn agent_with_peers() -> agent::Agent {
     let mut agent = agent();
     agent.handle(at(1), agent::Event::Roster(BALANCER, roster(1, &[], 1)));
-    agent.handle(at(1), agent::Event::Roster(FAR_BALANCER, far_roster()));
+    agent.handle(at(1), agent::Event::Roster(REMOTE_BALANCER, remote_gossip()));
     agent
 }
 
 #[test]
-fn an_agent_speaks_to_its_own_failure_domain() {
-    let mut agent = acquainted();
+fn an_agent_announces_itself_to_its_own_failure_domain() {
+    let mut agent = agent_with_peers();
 
     let sent = announced_to(&agent.handle(at(600), agent::Event::Tick));
 
@@ -390,22 +396,22 @@
 
 /// A remote balancer must learn at once that a server stops or resumes accepting flows.
 #[test]
-fn a_change_is_told_to_all() {
-    let mut agent = acquainted();
+fn a_change_is_announced_to_all_balancers() {
+    let mut agent = agent_with_peers();
 
     let sent = announced_to(&agent.handle(at(600), agent::Event::Heartbeat(heartbeat("a", 1))));
 
-    assert_eq!(sent, vec![BALANCER, FAR_BALANCER]);
+    assert_eq!(sent, vec![BALANCER, REMOTE_BALANCER]);
 }
 
 /// Guards against resets of all flows of a failure domain whose balancers are all gone: nobody
 /// there receives its agents' announcements, but balancers of other domains carry their flows.
 #[test]
-fn an_agent_without_balancers_at_home_speaks_to_all() {
-    let mut agent = acquainted();
-    agent.handle(at(3_000), agent::Event::Roster(FAR_BALANCER, far_roster()));
+fn an_agent_without_local_balancers_announces_itself_to_all() {
+    let mut agent = agent_with_peers();
+    agent.handle(at(3_000), agent::Event::Roster(REMOTE_BALANCER, remote_gossip()));
 
     let sent = announced_to(&agent.handle(at(3_000), agent::Event::Tick));
 
-    assert_eq!(sent, vec![BALANCER, FAR_BALANCER]);
+    assert_eq!(sent, vec![BALANCER, REMOTE_BALANCER]);
 }
