--- a/crates/nutmegkeel_core/src/l4/balancer.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer.rs
@@ -304,7 +304,7 @@
         if was_asked {
             self.learn_answer_time(after_ms);
         }
-        let note = Action::Note(Note::Declined { flow: head.flow, agent: from, reason, load });
+        let log = Action::Note(Note::Declined { flow: head.flow, agent: from, reason, load });
         let mut actions = match (current, route.filter(|_| head.opens())) {
             (Some(agent), Some(_)) if agent != from => Vec::new(),
             (Some(agent), None) if agent != from => vec![carry_to(agent, false)],
@@ -313,7 +313,7 @@
             (_, None) if head.opens() => self.keep(head, Cause::NoConfiguration),
             (_, None) => self.search(now, head),
         };
-        actions.push(note);
+        actions.push(log);
         actions
     }
 
@@ -336,11 +336,11 @@
         if table.version <= self.table.version {
             return Vec::new();
         }
-        let note = Note::InForce { version: table.version, routes: table.routes.len() };
+        let decision = Note::InForce { version: table.version, routes: table.routes.len() };
         let is_first = self.table.version == 0;
         self.shortage.configured(&table);
         self.table = table;
-        let mut actions = vec![Action::Note(note)];
+        let mut actions = vec![Action::Note(decision)];
         if is_first {
             // Peers that still lack a configuration forward their packets here from now on.
             let heartbeat = self.heartbeat(now);
@@ -377,7 +377,7 @@
     }
 
     fn reset_flow(&self, flow: Flow, seq: u32, cause: Cause, asked: usize) -> Vec<Action> {
-        let note = Note::Reset { flow, cause, asked, version: self.table.version };
-        vec![Action::Reset { flow, seq }, Action::Note(note)]
+        let decision = Note::Reset { flow, cause, asked, version: self.table.version };
+        vec![Action::Reset { flow, seq }, Action::Note(decision)]
     }
 }
--- a/crates/nutmegkeel_core/src/l4/balancer/introductions.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/introductions.rs
@@ -131,10 +131,10 @@
         let orders = self.latest_orders.revision();
         let digest = self.snapshot(now).digest;
         let sent = Sent { at: now, digest, orders };
-        let telling = self.pool.telling(agent, sent, pause_ms);
+        let notification = self.pool.telling(agent, sent, pause_ms);
         let receivers =
-            if telling == Telling::Addresses { self.receivers(now, is_local) } else { 0 };
-        let messages = match telling {
+            if notification == Telling::Addresses { self.receivers(now, is_local) } else { 0 };
+        let messages = match notification {
             Telling::Nothing => return Vec::new(),
             Telling::Addresses if self.is_turn(now, agent, receivers) => {
                 self.pool.note_told(agent, sent);
--- a/crates/nutmegkeel_core/src/l4/balancer/kept.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/kept.rs
@@ -65,7 +65,7 @@
         let Some(to) = to.filter(|_| self.identity.policy.uses(Mechanism::Relay)) else {
             return self.unrouted(now, head);
         };
-        let note = Note::Relayed { flow: head.flow, to };
-        vec![Action::Forward(to, Message::Relay), Action::Note(note)]
+        let decision = Note::Relayed { flow: head.flow, to };
+        vec![Action::Forward(to, Message::Relay), Action::Note(decision)]
     }
 }
--- a/crates/nutmegkeel_core/src/l4/balancer/opening.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/opening.rs
@@ -79,11 +79,11 @@
         self.pool.placed(choice.agent);
         let is_last = self.pool.open_agents(now, &need) <= tried.len() + 1;
         let admission = if for_idle && !is_last { Admission::IfIdle } else { Admission::IfInTime };
-        let note =
+        let decision =
             Note::Placed { flow: head.flow, choice, attempt: tries, version: self.table.version };
         let offer = self.offer(service, route, admission, waited_ms);
         let offer = Offer { is_retry, ..offer };
-        vec![Action::Forward(choice.agent, Message::Open(offer)), Action::Note(note)]
+        vec![Action::Forward(choice.agent, Message::Open(offer)), Action::Note(decision)]
     }
 
     /// Handles an opening that no agent accepts. The client is refused at once, unless this
--- a/crates/nutmegkeel_core/src/l4/balancer/review.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/review.rs
@@ -44,7 +44,7 @@
     fn rebalance(&mut self, now: Time) -> Vec<Action> {
         let levels = self.pool.rebalance(now);
         let abroad = self.pool.sent_abroad();
-        let note = |level| Action::Note(Note::Spared { level, abroad });
-        levels.into_iter().map(note).collect()
+        let log = |level| Action::Note(Note::Spared { level, abroad });
+        levels.into_iter().map(log).collect()
     }
 }
--- a/crates/nutmegkeel_core/src/l4/balancer/shortage.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/shortage.rs
@@ -17,8 +17,8 @@
 /// Known shortage of room, beyond what the agents report.
 #[derive(Debug, Default)]
 pub(super) struct Tracker {
-    crowds: Crowds,
-    returns: Returns,
+    congestion: Crowds,
+    retries: Returns,
     /// Degrees of urgency among the routes of each service.
     degrees: BTreeMap<Service, BTreeSet<Urgency>>,
 }
@@ -35,8 +35,8 @@
     }
 
     pub(super) fn expire(&mut self, now: Time) {
-        self.crowds.expire(now);
-        self.returns.expire(now);
+        self.congestion.expire(now);
+        self.retries.expire(now);
     }
 
     /// Estimates which part of the waiting requests is served before a request. It is unknown which
@@ -70,7 +70,7 @@
     /// Guards against an overload in which every opening is returned twice before it may wait,
     /// which takes three times as many messages when hosts are busiest.
     pub(super) fn has_no_free_slot(&self, now: Time, flow: &Flow, service: Service) -> bool {
-        self.shortage.crowds.is_certain(now, (flow.service, service))
+        self.shortage.congestion.is_certain(now, (flow.service, service))
     }
 
     /// Returns whether a first opening comes from a client that was refused before. Looked up once
@@ -83,7 +83,7 @@
             return is_retry;
         }
         // A copy of a refused opening is not a retry by its client.
-        let is_retry = head.ack == 0 && self.shortage.returns.claim(now, &head.flow);
+        let is_retry = head.ack == 0 && self.shortage.retries.claim(now, &head.flow);
         self.cache.entry(now, head.flow).is_retry = Some(is_retry);
         is_retry
     }
@@ -108,10 +108,10 @@
         }
         let place = (head.flow.service, need.service);
         if self.pool.is_free(now, choice.agent) {
-            self.shortage.crowds.note_free(place);
+            self.shortage.congestion.note_free(place);
             return None;
         }
-        let lasted_ms = self.shortage.crowds.note_full(now, place);
+        let lasted_ms = self.shortage.congestion.note_full(now, place);
         let entry = self.cache.entry(now, head.flow);
         let waited_ms = now.since(entry.started_at);
         if lasted_ms <= CROWD_MS || entry.is_retry == Some(true) {
@@ -144,13 +144,13 @@
         asked: usize,
         shortage: Option<Shortage>,
     ) -> Vec<Action> {
-        self.shortage.returns.refused(now, &head.flow);
+        self.shortage.retries.refused(now, &head.flow);
         self.cache.remove(&head.flow);
         let cause = if shortage.is_some() { Cause::NoRoom } else { Cause::AllDeclined };
-        let note = Note::Refused { flow: head.flow, cause, urgency, asked, shortage };
+        let decision = Note::Refused { flow: head.flow, cause, urgency, asked, shortage };
         let reset = self.reset(head, cause, asked);
         let reset = reset.into_iter().filter(|action| matches!(action, Action::Reset { .. }));
-        reset.chain([Action::Note(note)]).collect()
+        reset.chain([Action::Note(decision)]).collect()
     }
 
     /// Returns the room of each service by failure domain, if openings are placed by room.
--- a/crates/nutmegkeel_core/tests/l4/balancer.rs
+++ b/crates/nutmegkeel_core/tests/l4/balancer.rs
@@ -240,9 +240,9 @@
 fn a_peer_with_a_newer_configuration_is_asked_for_it() {
     let mut balancer = balancer(&[1]);
     let peer = host(77);
-    let roster = roster(9, &[peer], 0);
+    let gossip = roster(9, &[peer], 0);
 
-    let actions = balancer.handle(at(3_000), Event::Gossip(peer, roster));
+    let actions = balancer.handle(at(3_000), Event::Gossip(peer, gossip));
 
     let holder = Holder { address: peer, version: 9 };
     assert!(actions.contains(&Action::Fetch(holder)), "{actions:?}");
@@ -252,8 +252,8 @@
 fn a_leaving_balancer_is_not_ready_and_reports_it() {
     let mut balancer = balancer(&[1]);
     let peer = host(77);
-    let roster = roster(1, &[peer], 0);
-    balancer.handle(at(3_000), Event::Gossip(peer, roster));
+    let gossip = roster(1, &[peer], 0);
+    balancer.handle(at(3_000), Event::Gossip(peer, gossip));
     let before = balancer.is_ready(at(3_001));
 
     let actions = balancer.handle(at(3_001), Event::Leave);
@@ -261,8 +261,8 @@
     assert!(before);
     assert!(!balancer.is_ready(at(3_002)));
     let reports_leaving = |action: &Action| {
-        matches!(action, Action::Send(to, Message::Gossip(roster))
-            if *to == peer && roster.leaving && !roster.balancers.contains(&BALANCER))
+        matches!(action, Action::Send(to, Message::Gossip(gossip))
+            if *to == peer && gossip.leaving && !gossip.balancers.contains(&BALANCER))
     };
     assert!(actions.iter().any(reports_leaving), "{actions:?}");
 }
@@ -322,8 +322,8 @@
 fn a_balancer_that_knows_fewer_agents_than_others_resets_nothing() {
     let mut balancer = balancer(&[1]);
     let peer = host(77);
-    let roster = roster(1, &[peer], 2);
-    balancer.handle(at(3_000), Event::Gossip(peer, roster));
+    let gossip = roster(1, &[peer], 2);
+    balancer.handle(at(3_000), Event::Gossip(peer, gossip));
     let packet = data(flow(1), 1_001, 500);
     balancer.handle(at(3_001), Event::Client(packet));
 
@@ -364,8 +364,8 @@
 
     let mut asked = 0;
     for millis in (13_250..15_500).step_by(50) {
-        let word = word(millis + 100, State::Ready, Load::default());
-        let mut actions = balancer.handle(at(millis), Event::Announced(host(1), word));
+        let announcement = word(millis + 100, State::Ready, Load::default());
+        let mut actions = balancer.handle(at(millis), Event::Announced(host(1), announcement));
         actions.extend(balancer.handle(at(millis), Event::Tick));
         let asks = |action: &&Action| matches!(action, Action::Send(_, Message::Locate { .. }));
         asked += actions.iter().filter(asks).count();
@@ -458,11 +458,11 @@
 fn a_balancer_without_a_configuration_relays_packets_to_one_that_has_it() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     let head = opening(flow(1), 0);
-    let roster = |version| roster(version, &[], 3);
-    balancer.handle(at(1), Event::Gossip(host(8), roster(0)));
+    let gossip = |version| roster(version, &[], 3);
+    balancer.handle(at(1), Event::Gossip(host(8), gossip(0)));
 
     let alone = balancer.handle(at(10), Event::Client(head));
-    let configured = balancer.handle(at(20), Event::Gossip(host(9), roster(4)));
+    let configured = balancer.handle(at(20), Event::Gossip(host(9), gossip(4)));
     let relayed = balancer.handle(at(20), Event::Recalled(head));
 
     assert!(alone.contains(&Action::Keep(head)), "{alone:?}");
@@ -474,8 +474,8 @@
 #[test]
 fn a_packet_is_relayed_once() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
-    let roster = roster(4, &[], 3);
-    balancer.handle(at(1), Event::Gossip(host(9), roster));
+    let gossip = roster(4, &[], 3);
+    balancer.handle(at(1), Event::Gossip(host(9), gossip));
     let head = opening(flow(1), 0);
 
     let actions = balancer.handle(at(10), Event::Relayed(head));
--- a/crates/nutmegkeel_core/tests/l4/search.rs
+++ b/crates/nutmegkeel_core/tests/l4/search.rs
@@ -112,14 +112,14 @@
         let restarted = self.restarted.pop();
         let announcing = self.behaviors.iter().filter(|(_, one)| **one != Behavior::Mute);
         for (agent, _) in announcing {
-            let mut word = word(self.now + 100, State::Ready, Load::default());
+            let mut announcement = word(self.now + 100, State::Ready, Load::default());
             if restarted == Some(*agent) {
-                word.incarnation = self.now;
+                announcement.incarnation = self.now;
             }
             if agent.octets()[3] > LOCAL_AGENTS {
-                word.domain = "tema".into();
+                announcement.domain = "tema".into();
             }
-            self.balancer.handle(at(self.now), Event::Announced(*agent, word));
+            self.balancer.handle(at(self.now), Event::Announced(*agent, announcement));
         }
     }
 
--- a/crates/nutmegkeel_core/tests/l4/summary.rs
+++ b/crates/nutmegkeel_core/tests/l4/summary.rs
@@ -198,8 +198,8 @@
             }
         }
         balancer.handle(at(now), Event::Gossip(REMOTE_BALANCER, remote_gossip()));
-        let word = word(1 + now, State::Ready, Load::default());
-        balancer.handle(at(now), Event::Announced(host(99), word));
+        let announcement = word(1 + now, State::Ready, Load::default());
+        balancer.handle(at(now), Event::Announced(host(99), announcement));
     }
 }
 
