--- a/crates/nutmegkeel_core/src/l4/balancer/selection.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/selection.rs
@@ -21,8 +21,8 @@
 const OPEN_TRIES: usize = 8;
 
 /// Where requests compete for room, number of agents that may report that an answer would come too
-/// late before the opening is refused. Guards against entry hosts that lose other packets: under
-/// overload each opening would ask eight agents and get the same answer.
+/// late before the opening is refused. Guards against packet loss on the entry hosts: under overload
+/// each opening would ask eight agents and get the same answer.
 const LATE_TRIES: usize = 2;
 
 /// Progress of an opening.
--- a/crates/nutmegkeel_core/src/l4/cache.rs
+++ b/crates/nutmegkeel_core/src/l4/cache.rs
@@ -170,7 +170,7 @@
         self.undecided.remove(flow);
     }
 
-    /// Removes entries that have not been used for [`IDLE_TIMEOUT_MS`].
+    /// Removes entries that have been unused for too long.
     pub fn expire(&mut self, now: Time) {
         self.entries.retain(|_, entry| now.since(entry.used_at) < IDLE_TIMEOUT_MS);
     }
--- a/crates/nutmegkeel_core/src/l4/peer_state.rs
+++ b/crates/nutmegkeel_core/src/l4/peer_state.rs
@@ -122,7 +122,6 @@
         let valid_ms = self.valid_ms();
         let current =
             self.states.iter().filter(move |(_, state)| now.since(state.received_at) <= valid_ms);
-
         current.map(|(balancer, state)| (*balancer, state))
     }
 
@@ -142,8 +141,9 @@
         u64::try_from(domains.len()).unwrap_or(u64::MAX)
     }
 
-    /// Returns the states of the last [`VALID_MS`]. Volatile values, such as the number of agents
-    /// that a balancer receives announcements of, are outdated sooner than the list of balancers.
+    /// Returns the states of the last [`VALID_MS`], of balancers that are not about to stop.
+    /// Volatile values, such as the number of agents that a balancer receives announcements of, are
+    /// outdated sooner than the list of balancers.
     pub fn fresh(&self, now: Time) -> impl Iterator<Item = (Ipv4Addr, &State)> + '_ {
         self.not_leaving(now).filter(move |(_, state)| now.since(state.received_at) <= VALID_MS)
     }
