--- a/crates/nutmegkeel_core/tests/l4/delegate.rs
+++ b/crates/nutmegkeel_core/tests/l4/delegate.rs
@@ -338,11 +338,11 @@
     handover.begin(list(1));
     handover.step(at(0), &[host(1)], true, MANY);
 
-    let unreachable = handover.step(at(3_000), &[host(1)], false, MANY);
-    let reachable = handover.step(at(3_100), &[host(1)], true, MANY);
+    let while_unreachable = handover.step(at(3_000), &[host(1)], false, MANY);
+    let when_reachable = handover.step(at(3_100), &[host(1)], true, MANY);
 
-    assert_eq!(unreachable, None);
-    assert_eq!(reachable, Some(Step::Deposit(host(1), list(1))));
+    assert_eq!(while_unreachable, None);
+    assert_eq!(when_reachable, Some(Step::Deposit(host(1), list(1))));
 }
 
 /// Guards against lists that are never saved after the host's clock was set back, because the lists
@@ -401,11 +401,11 @@
     let mut handover = Handover::default();
     handover.begin(list(1));
 
-    let unreachable = handover.step(at(0), &[host(1)], false, 3);
-    let reachable = handover.step(at(500), &[host(1)], true, 3);
+    let while_unreachable = handover.step(at(0), &[host(1)], false, 3);
+    let when_reachable = handover.step(at(500), &[host(1)], true, 3);
 
-    assert_eq!(unreachable, None);
-    assert_eq!(reachable, Some(Step::Write(list(1))));
+    assert_eq!(while_unreachable, None);
+    assert_eq!(when_reachable, Some(Step::Write(list(1))));
 }
 
 /// An agent determines the number of agents in its failure domain from the states of balancers of
