--- a/crates/nutmegkeel_core/tests/l4/delegate.rs
+++ b/crates/nutmegkeel_core/tests/l4/delegate.rs
@@ -93,7 +93,7 @@
             let sent = balancers[usize::from(sender) - 1].handle(at(millis), Event::Tick);
             for (to, gossip) in gossip_messages(&sent) {
                 let receiver = numbers(balancers).find(|number| host(*number) == to);
-                let receiver = receiver.expect("a balancer is spoken to");
+                let receiver = receiver.expect("the receiver is a balancer");
                 balancers[usize::from(receiver) - 1]
                     .handle(at(millis), Event::Gossip(host(sender), gossip));
             }
@@ -449,5 +449,5 @@
     all.sort_unstable();
     let longest = all.windows(2).map(|pair| pair[1] - pair[0]).max();
     assert_eq!(longest, Some(200), "{all:?}");
-    assert!(calls <= 20, "no more calls than 2.5 a second each: {calls}");
+    assert!(calls <= 20, "at most 2.5 calls per second each: {calls}");
 }
--- a/crates/nutmegkeel_core/tests/l4/fetch.rs
+++ b/crates/nutmegkeel_core/tests/l4/fetch.rs
@@ -45,14 +45,14 @@
         plan.add_holder(at(0), holder(FIRST, 7));
         plan.add_holder(at(0), holder(SECOND, 7));
 
-        let (millis, from) = call(&mut plan, 0).expect("it asks");
+        let (millis, from) = call(&mut plan, 0).expect("a call is due");
 
-        assert!(millis < SPREAD_MS, "asked after {millis} ms");
+        assert!(millis < SPREAD_MS, "called after {millis} ms");
         times.insert(millis);
         to_first += usize::from(from == FIRST);
     }
     assert!(times.len() > 15, "{times:?}");
-    assert!((10..30).contains(&to_first), "{to_first} of 40 asked the first");
+    assert!((10..30).contains(&to_first), "{to_first} of 40 called the first");
 }
 
 /// Guards against a process that waits until its timeout for a hung connection, although the other
@@ -62,12 +62,12 @@
     let mut plan = requester(1);
     plan.add_holder(at(0), holder(FIRST, 7));
     plan.add_holder(at(0), holder(SECOND, 7));
-    let (first_at, first) = call(&mut plan, 0).expect("it asks");
+    let (first_at, first) = call(&mut plan, 0).expect("a call is due");
 
-    let (second_at, second) = call(&mut plan, first_at).expect("it asks again");
+    let (second_at, second) = call(&mut plan, first_at).expect("a second call is due");
     plan.finish_call(at(second_at + 5), second, Some(7));
 
-    assert!(second_at - first_at <= DOUBT_MS, "asked again after {} ms", second_at - first_at);
+    assert!(second_at - first_at <= DOUBT_MS, "called again after {} ms", second_at - first_at);
     assert_ne!(first, second);
     assert_eq!(call(&mut plan, second_at + 5), None);
 }
@@ -78,13 +78,13 @@
 fn the_only_holder_is_called_again_on_another_connection() {
     let mut plan = requester(1);
     plan.add_holder(at(0), holder(FIRST, 7));
-    let (first_at, _) = call(&mut plan, 0).expect("it asks");
+    let (first_at, _) = call(&mut plan, 0).expect("a call is due");
 
-    let (second_at, second) = call(&mut plan, first_at).expect("it asks again");
+    let (second_at, second) = call(&mut plan, first_at).expect("a second call is due");
 
     assert!(second_at - first_at <= DOUBT_MS);
     assert_eq!(second, FIRST);
-    assert_eq!(call(&mut plan, second_at), None, "two calls are under way at most");
+    assert_eq!(call(&mut plan, second_at), None, "at most two calls are in flight");
 }
 
 /// Guards against fetching the same configuration twice when both delegates report it at once,
@@ -94,13 +94,13 @@
 fn an_answer_satisfies_reports_of_its_version_but_not_of_newer_ones() {
     let mut plan = requester(1);
     plan.add_holder(at(0), holder(FIRST, 7));
-    let (called, from) = call(&mut plan, 0).expect("it asks");
+    let (called, from) = call(&mut plan, 0).expect("a call is due");
     plan.add_holder(at(called), holder(SECOND, 7));
     plan.finish_call(at(called + 5), from, Some(7));
     assert_eq!(plan.due(), None);
 
     plan.add_holder(at(200), holder(FIRST, 8));
-    let (called, from) = call(&mut plan, 200).expect("it asks");
+    let (called, from) = call(&mut plan, 200).expect("a call is due");
     plan.add_holder(at(called), holder(SECOND, 9));
     plan.finish_call(at(called + 5), from, Some(8));
 
@@ -114,10 +114,10 @@
     let mut plan = requester(1);
     plan.add_holder(at(0), holder(FIRST, 7));
     plan.add_holder(at(0), holder(SECOND, 7));
-    let (called, first) = call(&mut plan, 0).expect("it asks");
+    let (called, first) = call(&mut plan, 0).expect("a call is due");
 
     plan.finish_call(at(called + 1), first, None);
-    let (again, second) = call(&mut plan, called + 1).expect("it asks the other");
+    let (again, second) = call(&mut plan, called + 1).expect("the other holder is called");
     plan.finish_call(at(again + 1), second, None);
 
     assert_eq!(again, called + 1);
@@ -147,11 +147,14 @@
     let mut plan = requester(1);
     plan.set_version(6);
     plan.add_holder(at(0), holder(FIRST, 7));
-    let (called, from) = call(&mut plan, 0).expect("it asks");
+    let (called, from) = call(&mut plan, 0).expect("a call is due");
 
     plan.finish_call(at(called + 1), from, Some(6));
 
     assert_eq!(call(&mut plan, called + 1), None);
     plan.add_holder(at(called + 500), holder(FIRST, 7));
-    assert!(call(&mut plan, called + 500).is_some(), "it is called when it says so again");
+    assert!(
+        call(&mut plan, called + 500).is_some(),
+        "it is called when it reports the version again"
+    );
 }
--- a/crates/nutmegkeel_core/tests/l4/introduction.rs
+++ b/crates/nutmegkeel_core/tests/l4/introduction.rs
@@ -128,7 +128,7 @@
         .collect();
 
     assert!(receivers.iter().all(|to| *to == host(2)), "{receivers:?}");
-    assert!((10..=21).contains(&receivers.len()), "{} words", receivers.len());
+    assert!((10..=21).contains(&receivers.len()), "{} messages", receivers.len());
 }
 
 /// Guards against an agent that never learns of a new balancer, so that searches of that balancer
--- a/crates/nutmegkeel_core/tests/l4/search.rs
+++ b/crates/nutmegkeel_core/tests/l4/search.rs
@@ -127,7 +127,7 @@
         for action in self.balancer.handle(at(self.now), event) {
             match action {
                 Action::Forward(agent, Message::Carry { .. }) => {
-                    let head = head.expect("a packet is at hand");
+                    let head = head.expect("a packet is available");
                     self.ask(agent, head.flow, Some(head));
                 }
                 Action::Send(agent, Message::Locate { flow }) => self.ask(agent, flow, None),
@@ -195,7 +195,7 @@
     let wide = fleet.search(packet(1), 1_000);
     let sequential = one_by_one.search(packet(1), 1_000);
 
-    println!("told after {wide:?} ms, asked one by one after {sequential:?} ms");
+    println!("reset after {wide:?} ms, when asking one by one after {sequential:?} ms");
     assert!(wide.is_some_and(|reset_ms| reset_ms <= OBJECTIVE_MS / 2), "{wide:?}");
     assert!(sequential.is_none_or(|reset_ms| reset_ms > OBJECTIVE_MS), "{sequential:?}");
 }
