--- a/crates/nutmegkeel_core/src/l4.rs
+++ b/crates/nutmegkeel_core/src/l4.rs
@@ -1,12 +1,14 @@
-//! Flows whose packets carry no routing token: only addresses, ports and sequence numbers.
+//! Load balancing of flows whose packets carry no routing token, only addresses, ports and sequence
+//! numbers.
 //!
-//! A balancer finds the agent of such a flow in its own cache or by asking agents in an order that
-//! every balancer computes alike; the agent has the last word, because it alone sees what its
-//! backend server accepted. Nobody holds a table of all flows.
+//! A balancer finds the agent of such a flow in its own cache or by querying agents in an order
+//! that every balancer computes identically. The agent decides whether it holds the flow, because
+//! only it sees what its backend server accepted. No process keeps a table of all flows.
 
 pub mod agent;
 pub mod balancer;
 pub mod cache;
+pub mod changes;
 pub mod checkpoint;
 pub mod evacuation;
 pub mod fetch;
@@ -17,6 +19,7 @@
 pub mod mute;
 pub mod note;
 pub mod outlier;
+pub mod peer_state;
 pub mod placement;
 pub mod policy;
 pub mod probe;
@@ -28,8 +31,6 @@
 pub mod speed;
 pub mod status;
 pub mod table;
-pub mod turnover;
 pub mod waiting;
 pub mod warmup;
 pub mod watch;
-pub mod word;
--- a/crates/nutmegkeel_core/src/l4/balancer.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer.rs
@@ -1,19 +1,19 @@
 //! Decisions of a balancer for flows without a routing token.
 
-mod certainty;
 mod collector;
+mod discovery;
 mod evacuation;
 mod event;
 pub mod introductions;
 mod kept;
 mod opening;
-mod outlook;
 mod peers;
 mod queries;
 mod review;
 mod search;
 mod selection;
 mod shortage;
+mod snapshot;
 mod speed;
 pub mod summary;
 mod wide_search;
@@ -22,108 +22,110 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-use certainty::Growth;
 use collector::Collector;
+use discovery::Discovery;
 use introductions::Introductions;
 use kept::View;
-use outlook::Outlook;
-use search::{carry_to, note_declined};
+use search::{carry_to, record_declined};
+use snapshot::Snapshot;
 
 use super::cache::{Cache, Place};
+use super::changes::Changes;
 use super::evacuation::Ledger;
 use super::fetch::Holder;
 use super::flow::{Flow, Head};
 use super::message::{Announcement, Load, Reason};
 use super::note::{Cause, Note};
+use super::peer_state::States;
 use super::placement::Pool;
 use super::policy::{Mechanism, Policy};
-use super::roster::{Book, Told};
+use super::roster::{Roster, Sent};
 use super::route::{Service, Table};
-use super::turnover::Turnover;
-use super::word::Words;
 use crate::clock::Time;
 
 pub use event::{Action, Event};
 
-/// Pause between two ticks, in milliseconds. Gossip goes out with each.
+/// Pause between two ticks, in milliseconds. Gossip is sent with each.
 pub const TICK_MS: u64 = 500;
 
-/// A gap between two events longer than this means that the process stood still: announcements
-/// alone come more often.
-const STANDSTILL_MS: u64 = 1_000;
+/// Longest usual gap between two events, in milliseconds. A longer one means that the process was
+/// stalled, because announcements alone arrive more often.
+const STALL_MS: u64 = 1_000;
 
-/// Pause between two looks at agents that fell silent and at clients that wait for a decision, in
-/// milliseconds. A look walks all agents, so it is not done with every packet.
+/// Pause between two checks for silent agents and for clients that wait for a decision, in
+/// milliseconds. A check iterates over all agents, so it is not done with every packet.
 const REVIEW_MS: u64 = 50;
 
-/// Number of a reset that refuses an opening. A client takes any number while its flow is not open.
-/// One that opened the flow elsewhere meanwhile, by a copy that took another way, ignores this one:
-/// it is not near the numbers of its flow but in one of 28,000 cases.
+/// Sequence number of a reset that refuses an opening. A client accepts any number while its flow
+/// is not open. A client whose flow was opened elsewhere by a copy of the opening ignores the
+/// reset: the chance that this number lies in the window of its flow is one in 28,000.
 const REFUSAL_SEQ: u32 = 0x8000_0000;
 
-/// What a balancer knows of itself, fixed at start.
+/// Properties of a balancer that are fixed at start.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Its address.
     pub address: Ipv4Addr,
     /// Failure domain.
     pub domain: Arc<str>,
-    /// Region of each failure domain there is.
+    /// Region of each failure domain.
     pub regions: BTreeMap<Arc<str>, Arc<str>>,
-    /// The mechanisms that it uses.
+    /// The mechanisms that are in use.
     pub policy: Policy,
 }
 
-/// The balancer.
+/// Decides where the packets of flows without a routing token go.
 #[derive(Debug)]
 pub struct Balancer {
     identity: Identity,
     table: Table,
-    ledger: Ledger,
+    latest_orders: Ledger,
     pool: Pool,
     cache: Cache,
-    peers: Book,
-    /// What the other balancers last said of themselves.
-    words: Words,
+    peers: Roster,
+    /// State that the other balancers last reported.
+    peer_states: States,
     /// Whether the store answered the last call.
     reaches_store: bool,
-    growth: Growth,
-    last: Time,
-    reviewed: Time,
-    turn: usize,
-    /// What each other balancer was last told of the balancers.
-    told: BTreeMap<Ipv4Addr, Told>,
+    discovery: Discovery,
+    last_event: Time,
+    reviewed_at: Time,
+    gossip_turn: usize,
+    /// What each other balancer was last sent about the balancers.
+    sent: BTreeMap<Ipv4Addr, Sent>,
     introductions: Introductions,
     /// Balancers and agents that changed since the last tick.
-    balancers_changed: Turnover,
-    agents_changed: Turnover,
-    /// What this balancer last said of all that it hears of.
-    outlook: Option<Outlook>,
+    balancers_changed: Changes,
+    agents_changed: Changes,
+    /// Known balancers and agents, as last computed.
+    snapshot: Option<Snapshot>,
     collector: Collector,
-    /// The last turn for a summary that was looked at.
-    slot: u64,
+    /// The last slot for summaries that was checked.
+    summary_slot: u64,
     leaving: bool,
     /// Whether packets are kept until the next change.
-    keeps: bool,
-    /// What the last review saw of the agents.
+    has_kept: bool,
+    /// State of the agents at the last review.
     view: View,
-    /// Whether an agent appeared since, or takes flows again.
-    agent_came: bool,
-    /// How long an agent takes to say whether it holds a flow, in microseconds; zero while that is not known.
-    answer_us: u64,
-    /// Whether the event at hand is a packet that was kept before: only its first time is noted.
-    is_again: bool,
-    /// What is known of want of room besides the agents' reports.
-    memory: shortage::Memory,
+    /// Whether an agent has appeared, or accepts flows again, since the last review.
+    agent_appeared: bool,
+    /// Time that an agent takes to answer whether it holds a flow, in microseconds; zero while
+    /// unknown.
+    answer_time_us: u64,
+    /// Whether the current event is a packet that was kept before. Keeping a packet is logged only
+    /// once.
+    is_recalled: bool,
+    /// Known shortage of room, beyond what the agents report.
+    shortage: shortage::Tracker,
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet but its seeds.
+    /// Creates a balancer that knows only its seeds.
     #[must_use]
     pub fn open(now: Time, identity: Identity, seeds: &[Ipv4Addr]) -> Self {
-        let mut peers = Book::default();
+        let mut peers = Roster::default();
         for seed in seeds.iter().filter(|seed| **seed != identity.address) {
-            peers.heard(now, *seed);
+            peers.refresh(now, *seed);
         }
         let mut pool = if identity.policy.uses(Mechanism::Summaries) {
             Pool::open(Arc::clone(&identity.domain))
@@ -137,70 +139,70 @@
         Self {
             identity,
             table: Table::default(),
-            ledger: Ledger::default(),
+            latest_orders: Ledger::default(),
             pool,
             cache: Cache::default(),
             peers,
-            words: Words::default(),
+            peer_states: States::default(),
             reaches_store: true,
-            growth: Growth::open(now),
-            last: now,
-            reviewed: now,
-            turn: 0,
-            told: BTreeMap::new(),
+            discovery: Discovery::open(now),
+            last_event: now,
+            reviewed_at: now,
+            gossip_turn: 0,
+            sent: BTreeMap::new(),
             introductions: Introductions::open(now),
-            balancers_changed: Turnover::default(),
-            agents_changed: Turnover::default(),
-            outlook: None,
+            balancers_changed: Changes::default(),
+            agents_changed: Changes::default(),
+            snapshot: None,
             collector: Collector::default(),
-            slot: 0,
+            summary_slot: 0,
             leaving: false,
-            keeps: false,
+            has_kept: false,
             view: View::default(),
-            agent_came: false,
-            answer_us: 0,
-            is_again: false,
-            memory: shortage::Memory::default(),
+            agent_appeared: false,
+            answer_time_us: 0,
+            is_recalled: false,
+            shortage: shortage::Tracker::default(),
         }
     }
 
-    /// Takes in an event.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
-        self.notice_standstill(now);
-        let mut actions = self.take_in(now, event);
-        if now.since(self.reviewed) >= REVIEW_MS {
-            self.reviewed = now;
+        self.detect_stall(now);
+        let mut actions = self.apply(now, event);
+        if now.since(self.reviewed_at) >= REVIEW_MS {
+            self.reviewed_at = now;
             actions.extend(self.review(now));
         }
         actions
     }
 
-    fn take_in(&mut self, now: Time, event: Event) -> Vec<Action> {
+    fn apply(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
-            Event::Client(head) => self.client(now, &head),
-            Event::Again(head) => {
-                self.is_again = true;
-                let actions = self.again(now, &head);
-                self.is_again = false;
+            Event::Client(head) => self.client_packet(now, &head),
+            Event::Recalled(head) => {
+                self.is_recalled = true;
+                let actions = self.handle_packet(now, &head);
+                self.is_recalled = false;
                 actions
             }
             Event::Declined { from, head, reason, load } => {
                 self.declined(now, from, &head, reason, load)
             }
             Event::Relayed(head) if self.table.version == 0 => self.unrouted(now, &head),
-            Event::Relayed(head) => self.client(now, &head),
+            Event::Relayed(head) => self.client_packet(now, &head),
             Event::Holds { from, flow, load } => self.holds(now, from, flow, load),
             Event::Absent { from, flow, load } => self.absent(now, from, flow, load),
             Event::Unsure { from, flow, load } => self.unsure(now, from, flow, load),
-            Event::Announced(from, word) => self.announced(now, from, word),
+            Event::Announced(from, announcement) => self.announced(now, from, announcement),
             Event::Summary(summary) => self.summary(now, &summary),
-            Event::Roster(from, roster) => self.roster(now, from, &roster),
+            Event::Gossip(from, gossip) => self.apply_gossip(now, from, &gossip),
             Event::Listed(balancers) => self.listed(now, &balancers),
             Event::Configured(table) => self.configured(now, table),
             Event::Ordered(orders) => self.ordered(now, &orders),
-            Event::Store(answered) => self.store_answered(now, answered),
-            Event::Deposited(from, list) => {
-                self.collector.take(now, from, list);
+            Event::StoreAnswered(answered) => self.store_answered(now, answered),
+            Event::SaveFlows(from, list) => {
+                self.collector.add(now, from, list);
                 Vec::new()
             }
             Event::Committed(written) => self.committed(written),
@@ -209,26 +211,28 @@
         }
     }
 
-    /// Guards against taking all agents for dead after this process stood still: it could not hear
-    /// their announcements, and would reset their flows. The time that passed counts for nobody.
-    fn notice_standstill(&mut self, now: Time) {
-        let gap = now.since(self.last);
-        if gap > STANDSTILL_MS {
+    /// Guards against resetting the flows of all agents after this process was stalled: it received
+    /// none of their announcements and would take them for dead. The length of the stall is not
+    /// counted as silence of any agent.
+    fn detect_stall(&mut self, now: Time) {
+        let gap = now.since(self.last_event);
+        if gap > STALL_MS {
             self.pool.forgive(gap);
-            self.lose_certainty();
+            self.reset_discovery();
         }
-        self.last = now;
+        self.last_event = now;
     }
 
-    fn client(&mut self, now: Time, head: &Head) -> Vec<Action> {
-        // A first opening begins a new flow, whatever is remembered of one between the same ends.
+    fn client_packet(&mut self, now: Time, head: &Head) -> Vec<Action> {
+        // A first opening begins a new flow, even if the cache has an older flow with the same
+        // addresses and ports.
         if head.opens() && head.ack == 0 {
             self.cache.remove(&head.flow);
         }
-        self.again(now, head)
+        self.handle_packet(now, head)
     }
 
-    fn again(&mut self, now: Time, head: &Head) -> Vec<Action> {
+    fn handle_packet(&mut self, now: Time, head: &Head) -> Vec<Action> {
         if self.table.version == 0 {
             return self.relay(now, head);
         }
@@ -239,12 +243,12 @@
         if head.opens() { self.opening(now, head, &route) } else { self.carry(now, head) }
     }
 
-    /// Handles a packet while there is neither a configuration nor a balancer known that has one.
+    /// Handles a packet while neither this balancer nor any other known one has a configuration.
     ///
-    /// Guards against open flows that hang when the whole fleet starts again while the store is away:
-    /// backend servers and their agents live, and clients would wait for an answer until the store is
-    /// back. A packet of an open flow needs no route, because the agent that holds the flow says so. Only
-    /// an opening does.
+    /// Guards against open flows that hang when the whole fleet restarts while the store is
+    /// unreachable: backend servers and their agents are alive, but clients would wait until the
+    /// store is back. A packet of an open flow needs no route, because the agent that holds the
+    /// flow reports it. Only an opening needs one.
     fn unrouted(&mut self, now: Time, head: &Head) -> Vec<Action> {
         if head.opens() || !self.identity.policy.uses(Mechanism::Unrouted) {
             return self.keep(head, Cause::NoConfiguration);
@@ -252,14 +256,14 @@
         self.carry(now, head)
     }
 
-    /// Whether a configuration is in force that has no route for a flow.
+    /// Returns whether a configuration is in force that has no route for a flow.
     fn has_no_route(&self, flow: &Flow) -> bool {
         self.table.version > 0 && !self.table.routes.contains_key(&flow.service)
     }
 
-    /// Services whose agents are asked first for a flow: those of its route. Without a configuration no
-    /// service comes first, and all agents are asked. None if a configuration is in force that has no
-    /// route for the flow.
+    /// Returns the services whose agents are asked first for a flow: those of its route. Without a
+    /// configuration, no service is preferred and all agents are asked. None if a configuration is
+    /// in force that has no route for the flow.
     fn services(&self, flow: &Flow) -> Option<Vec<Service>> {
         if self.table.version == 0 {
             return Some(Vec::new());
@@ -289,60 +293,60 @@
         let entry = self.cache.entry(now, head.flow);
         let current = entry.place.as_ref().map(Place::agent);
         let was_asked = entry.place == Some(Place::Asked(from));
-        let after_ms = now.since(entry.asked);
+        let after_ms = now.since(entry.asked_at);
         if reason == Reason::NotHeld {
             entry.unanswered.retain(|agent| *agent != from);
         }
         if current.is_none_or(|agent| agent == from) {
             entry.place = None;
-            note_declined(entry, from, reason);
+            record_declined(entry, from, reason);
         }
         if was_asked {
             self.learn_answer_time(after_ms);
         }
-        let note = Action::Note(Note::Declined { flow: head.flow, agent: from, reason, load });
+        let log = Action::Note(Note::Declined { flow: head.flow, agent: from, reason, load });
         let mut actions = match (current, route.filter(|_| head.opens())) {
             (Some(agent), Some(_)) if agent != from => Vec::new(),
             (Some(agent), None) if agent != from => vec![carry_to(agent, false)],
             (_, Some(route)) => self.opening(now, head, &route),
-            // An opening that was sent by an earlier process of this host, which had a configuration.
+            // The opening was sent by an earlier process on this host, which had a configuration.
             (_, None) if head.opens() => self.keep(head, Cause::NoConfiguration),
             (_, None) => self.search(now, head),
         };
-        actions.push(note);
+        actions.push(log);
         actions
     }
 
-    fn announced(&mut self, now: Time, from: Ipv4Addr, word: Announcement) -> Vec<Action> {
-        let is_near = word.domain == self.identity.domain;
-        let replica = word.replica;
-        let change = self.pool.announced(now, from, word);
-        self.changed(now, from, change);
+    fn announced(&mut self, now: Time, from: Ipv4Addr, announcement: Announcement) -> Vec<Action> {
+        let is_local = announcement.domain == self.identity.domain;
+        let replica = announcement.replica;
+        let change = self.pool.announced(now, from, announcement);
+        self.agent_changed(now, from, change);
         let mut actions = Vec::new();
         if replica > self.table.version && self.identity.policy.uses(Mechanism::Replicas) {
             actions.push(Action::Fetch(Holder { address: from, version: replica }));
         }
-        actions.extend(self.tell_agent(now, from, is_near));
+        actions.extend(self.notify_agent(now, from, is_local));
         actions
     }
 
-    /// Guards against a configuration that comes late over a slow way: one that is older than what
-    /// is in force would bring dropped routes back.
+    /// Guards against a configuration that arrives late: one older than the current one would
+    /// restore routes that were removed.
     fn configured(&mut self, now: Time, table: Table) -> Vec<Action> {
         if table.version <= self.table.version {
             return Vec::new();
         }
-        let note = Note::InForce { version: table.version, routes: table.routes.len() };
+        let decision = Note::InForce { version: table.version, routes: table.routes.len() };
         let is_first = self.table.version == 0;
-        self.memory.configured(&table);
+        self.shortage.configured(&table);
         self.table = table;
-        let mut actions = vec![Action::Note(note)];
+        let mut actions = vec![Action::Note(decision)];
         if is_first {
-            // Others that still lack it hand their packets over from now on.
-            let sign = self.sign(now);
-            actions.extend(self.peers.iter().map(|peer| Action::Send(peer, sign.clone())));
+            // Peers that still lack a configuration forward their packets here from now on.
+            let heartbeat = self.heartbeat(now);
+            actions.extend(self.peers.iter().map(|peer| Action::Send(peer, heartbeat.clone())));
         } else {
-            actions.extend(self.tell_domain(now));
+            actions.extend(self.notify_domain(now));
         }
         actions.extend(self.recall(now));
         actions
@@ -350,20 +354,20 @@
 
     fn tick(&mut self, now: Time) -> Vec<Action> {
         self.cache.expire(now);
-        self.memory.expire(now);
+        self.shortage.expire(now);
         self.pool.forget(now);
         self.peers.expire(now);
-        self.words.expire(now);
-        self.told.retain(|peer, _| self.peers.knows(*peer));
-        // Who has waited too long is answered now, though nothing has changed.
+        self.peer_states.expire(now);
+        self.sent.retain(|peer, _| self.peers.contains(*peer));
+        // Packets that have been kept too long are answered now, even though nothing has changed.
         let mut actions = self.recall(now);
-        actions.extend(self.gossip(now));
-        actions.extend(self.note_turnover());
+        actions.extend(self.send_gossip(now));
+        actions.extend(self.log_changes());
         actions
     }
 
-    /// A reset, unless the packet is one itself. Its number is the client's own acknowledgement
-    /// number, or the client would not take the reset for one of this flow.
+    /// Resets a flow, unless the packet is itself a reset. The reset carries the client's own
+    /// acknowledgement number; the client would ignore any other.
     fn reset(&self, head: &Head, cause: Cause, asked: usize) -> Vec<Action> {
         if head.flags.rst {
             return Vec::new();
@@ -373,7 +377,7 @@
     }
 
     fn reset_flow(&self, flow: Flow, seq: u32, cause: Cause, asked: usize) -> Vec<Action> {
-        let note = Note::Reset { flow, cause, asked, version: self.table.version };
-        vec![Action::Reset { flow, seq }, Action::Note(note)]
+        let decision = Note::Reset { flow, cause, asked, version: self.table.version };
+        vec![Action::Reset { flow, seq }, Action::Note(decision)]
     }
 }
--- a/crates/nutmegkeel_core/src/l4/balancer/evacuation.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/evacuation.rs
@@ -1,34 +1,42 @@
-//! Evacuated failure domains at a balancer: it learns of them, passes the word on, and places nothing there.
+//! Applies evacuation orders: learns of them, forwards them, and places no flows in evacuated
+//! failure domains.
 
 use super::{Action, Balancer};
 use crate::clock::Time;
 use crate::l4::evacuation::Orders;
-use crate::l4::message::Roster;
+use crate::l4::message::Gossip;
 use crate::l4::note::Note;
 
 impl Balancer {
-    /// Takes in orders from the store or from an agent, and tells the failure domain at once.
+    /// Applies orders from the store or from an agent, and forwards them to the failure domain at
+    /// once.
     pub(super) fn ordered(&mut self, now: Time, orders: &Orders) -> Vec<Action> {
-        let mut actions = self.take_orders(now, orders);
+        let mut actions = self.apply_orders(now, orders);
         if !actions.is_empty() {
-            actions.extend(self.tell_domain(now));
+            actions.extend(self.notify_domain(now));
         }
         actions
     }
 
-    /// Takes in orders that another balancer has. What comes from another failure domain is passed on at
-    /// home: the delegates here may be the ones that the store turns away.
-    pub(super) fn hear_orders(&mut self, now: Time, word: &Roster, orders: &Orders) -> Vec<Action> {
-        if word.domain == self.identity.domain {
-            return self.take_orders(now, orders);
+    /// Applies orders received from another balancer. Orders from another failure domain are
+    /// forwarded within the own one, because the store may be unreachable for the delegates here.
+    pub(super) fn apply_peer_orders(
+        &mut self,
+        now: Time,
+        gossip: &Gossip,
+        orders: &Orders,
+    ) -> Vec<Action> {
+        if gossip.domain == self.identity.domain {
+            return self.apply_orders(now, orders);
         }
         self.ordered(now, orders)
     }
 
-    /// What the orders change. Openings that were kept may have a place now, unless there is no route yet.
-    fn take_orders(&mut self, now: Time, orders: &Orders) -> Vec<Action> {
-        let was_unknown = self.ledger.orders().is_none();
-        let changes = self.ledger.take(orders);
+    /// Applies orders and returns the resulting actions. Kept openings may be placeable now, unless
+    /// there is no route yet.
+    fn apply_orders(&mut self, now: Time, orders: &Orders) -> Vec<Action> {
+        let was_unknown = self.latest_orders.orders().is_none();
+        let changes = self.latest_orders.take(orders);
         if changes.is_empty() && !was_unknown {
             return Vec::new();
         }
--- a/crates/nutmegkeel_core/src/l4/balancer/introductions.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/introductions.rs
@@ -1,7 +1,8 @@
-//! How a balancer makes itself known, and tells others which balancers there are.
+//! Introduces a balancer to others and distributes the addresses of the balancers.
 //!
-//! The load pattern: a whole fleet starts, and every process speaks to every other for the first time. Each needs one
-//! list of addresses, whoever sends it; a list for each pair would fill the links while clients come back.
+//! Matters when a whole fleet starts and all processes exchange their first messages. Each process
+//! needs one list of addresses, from any sender; a list for each pair would saturate the links
+//! while clients reconnect.
 
 use std::net::Ipv4Addr;
 
@@ -9,157 +10,174 @@
 use super::{Action, Balancer};
 use crate::clock::Time;
 use crate::l4::health::ANNOUNCE_MS;
-use crate::l4::message::{Message, Roster};
+use crate::l4::message::{Gossip, Message};
 use crate::l4::placement::Telling;
-use crate::l4::roster::{TELL_MS, TELL_NEAR_MS, Told};
+use crate::l4::roster::{LOCAL_SEND_INTERVAL_MS, SEND_INTERVAL_MS, Sent};
 use crate::placement::mix;
 
-/// A balancer that has run for longer has found the others, or hears of them by their own signs, in milliseconds.
-const YOUNG_MS: u64 = 2_000;
+/// Run time after which a balancer has found the others, or will receive their regular messages, in
+/// milliseconds.
+const INTRODUCTION_PERIOD_MS: u64 = 2_000;
 
-/// Pause until a young balancer speaks again to others that have not answered, in milliseconds: processes of one start
-/// are up within a few of these.
-const INTRODUCE_MS: u64 = 100;
+/// Interval at which a recently started balancer sends to peers that have not answered, in
+/// milliseconds. Processes that start together are ready within a few such intervals.
+const INTRODUCTION_INTERVAL_MS: u64 = 100;
 
-/// Addresses in one datagram: at four bytes each they fit beside the orders of evacuation, however large the fleet.
-pub const ADDRESSES: usize = 256;
+/// Addresses per datagram. At four bytes each, they fit next to the evacuation orders, independent
+/// of the fleet's size.
+pub const ADDRESSES_PER_DATAGRAM: usize = 256;
 
-/// Lists of addresses that one word of a process is answered with, from all who hear it together: one is enough, and
-/// some may be lost.
-const LISTS: usize = 4;
+/// Number of address lists that all receivers together send in reply to one message. One is enough,
+/// and some may be lost.
+const EXPECTED_LISTS: usize = 4;
 
-/// Balancers among which turns are taken to answer a later sign: more than hear it, because the next one comes soon.
-const LATER_HEARERS: usize = 4 * PEERS_PER_TICK;
+/// Number of balancers that share the replies to a message that is not the first of its sender.
+/// Larger than the number of receivers, because the next message follows soon.
+const LATER_RECEIVERS: usize = 4 * PEERS_PER_TICK;
 
-/// Time after which others are to answer a process with a list, in milliseconds: as long as between two of an agent's
-/// announcements, so that each of them is answered.
+/// Time for which the same balancers reply to a process with a list, in milliseconds. Equal to the
+/// interval of an agent's announcements, so that each of them is answered.
 const TURN_MS: u64 = ANNOUNCE_MS;
 
-/// Digest noted for an agent that was told of no addresses.
-const NO_LIST: u64 = 0;
+/// Digest recorded for an agent that was sent no addresses.
+const NO_ADDRESSES: u64 = 0;
 
-/// What a balancer remembers of its introductions.
+/// Introduction state of a balancer.
 #[derive(Debug)]
 pub(super) struct Introductions {
-    /// When the balancer started, and when it last spoke to others that have not answered.
-    opened: Time,
-    spoke: Time,
+    /// When the balancer started, and when it last sent to peers that have not answered.
+    started_at: Time,
+    sent_at: Time,
 }
 
 impl Introductions {
-    /// Those of a balancer that starts.
+    /// Creates the state of a balancer that starts.
     pub(super) const fn open(now: Time) -> Self {
-        Self { opened: now, spoke: now }
+        Self { started_at: now, sent_at: now }
     }
 }
 
 impl Balancer {
-    /// Speaks again to balancers that have not answered, while this one is young.
+    /// Sends again to peers that have not answered, while this balancer is recently started.
     ///
-    /// Guards against processes that start together and miss each other's first word: the next round of signs may be
-    /// seconds away, and until then the packets of clients are carried without them.
-    pub(super) fn introduce_again(&mut self, now: Time) -> Vec<Action> {
-        if now.since(self.introductions.opened) > YOUNG_MS
-            || now.since(self.introductions.spoke) < INTRODUCE_MS
+    /// Guards against processes that start together and miss each other's first message: the next
+    /// round of gossip may be seconds away, and until then packets of clients are handled without
+    /// them.
+    pub(super) fn repeat_introduction(&mut self, now: Time) -> Vec<Action> {
+        if now.since(self.introductions.started_at) > INTRODUCTION_PERIOD_MS
+            || now.since(self.introductions.sent_at) < INTRODUCTION_INTERVAL_MS
         {
             return Vec::new();
         }
-        self.introductions.spoke = now;
-        let is_silent = |peer: &Ipv4Addr| self.words.get(*peer).is_none();
+        self.introductions.sent_at = now;
+        let is_silent = |peer: &Ipv4Addr| self.peer_states.get(*peer).is_none();
         let silent: Vec<Ipv4Addr> = self.peers.iter().filter(is_silent).collect();
         if silent.is_empty() {
             return Vec::new();
         }
-        let sign = self.sign(now);
-        let turn = usize::try_from(now.millis() / INTRODUCE_MS).unwrap_or(0) * PEERS_PER_TICK;
-        let told = next_few(&silent, turn, PEERS_PER_TICK);
-        told.map(|peer| Action::Send(peer, sign.clone())).collect()
+        let heartbeat = self.heartbeat(now);
+        let turn =
+            usize::try_from(now.millis() / INTRODUCTION_INTERVAL_MS).unwrap_or(0) * PEERS_PER_TICK;
+        let receivers = next_few(&silent, turn, PEERS_PER_TICK);
+        receivers.map(|peer| Action::Send(peer, heartbeat.clone())).collect()
     }
 
-    /// The addresses for a balancer that spoke, if it lacks some of them; empty if it does not.
+    /// Returns the addresses for a balancer that sent its state, if it lacks some of them;
+    /// otherwise nothing.
     ///
-    /// Guards against lists between all pairs: when all balancers start at once each hears of each other for the
-    /// first time, and where both go on to differ, because one of them has not yet dropped a balancer that died,
-    /// a list with every sign would cost ten times what the signs do. So the one that knows more tells, rarely
-    /// for one view, and only a few others at a time.
-    pub(super) fn list_for(
+    /// Guards against lists between all pairs. When all balancers start at once, each receives the
+    /// first message of each other one. Two views may also keep differing, because one side has not
+    /// yet removed a dead balancer; a list with every message would then cost ten times as much as
+    /// the messages without lists. So only the balancer that knows more sends a list, rarely for
+    /// the same view, and only to a few others at a time.
+    pub(super) fn addresses_for(
         &mut self,
         now: Time,
         peer: Ipv4Addr,
-        roster: &Roster,
+        gossip: &Gossip,
         is_new: bool,
     ) -> Vec<Message> {
-        let orders = self.ledger.revision();
-        let outlook = self.outlook(now);
-        let lacks_some = roster.digest != outlook.digest && roster.known <= outlook.count();
-        let told = Told { at: now, digest: outlook.digest, orders };
-        let count = outlook.balancers.len();
-        let before = self.told.get(&peer);
-        let was_told = before.is_some_and(|before| before.covers(&told, TELL_MS));
-        if !lacks_some || was_told || !roster.balancers.is_empty() {
+        let orders = self.latest_orders.revision();
+        let snapshot = self.snapshot(now);
+        let lacks_some = gossip.digest != snapshot.digest && gossip.known <= snapshot.count();
+        let sent = Sent { at: now, digest: snapshot.digest, orders };
+        let count = snapshot.balancers.len();
+        let before = self.sent.get(&peer);
+        let was_sent = before.is_some_and(|before| before.covers(&sent, SEND_INTERVAL_MS));
+        if !lacks_some || was_sent || !gossip.balancers.is_empty() {
             return Vec::new();
         }
-        // Who speaks for the first time speaks to all. Later signs go to a few in turn, again and again.
-        let hearers = if is_new { count } else { count.min(LATER_HEARERS) };
-        if !self.is_turn(now, peer, hearers) {
+        // A first message goes to all balancers. Later ones go to a few at a time, repeatedly.
+        let receivers = if is_new { count } else { count.min(LATER_RECEIVERS) };
+        if !self.is_turn(now, peer, receivers) {
             return Vec::new();
         }
-        self.told.insert(peer, told);
-        self.own_list(now)
+        self.sent.insert(peer, sent);
+        self.address_lists(now)
     }
 
-    /// Tells an agent who the balancers are, or that this one lives, if it is time.
+    /// Sends an agent the balancers, or this balancer's own state only, if a message is due.
     ///
-    /// Guards against a loss of power after which every balancer hands all addresses to every agent: one list
-    /// is enough for an agent, whoever sends it, and those that get a sign instead speak again in 0.3 s.
-    pub(super) fn tell_agent(&mut self, now: Time, agent: Ipv4Addr, is_near: bool) -> Vec<Action> {
-        let pause_ms = if is_near { TELL_NEAR_MS } else { TELL_MS };
-        let orders = self.ledger.revision();
-        let digest = self.outlook(now).digest;
-        let told = Told { at: now, digest, orders };
-        let telling = self.pool.telling(agent, told, pause_ms);
-        let hearers = if telling == Telling::Addresses { self.hearers(now, is_near) } else { 0 };
-        let messages = match telling {
+    /// Guards against a power loss after which every balancer sends all addresses to every agent.
+    /// One list is enough for an agent, from any sender, and an agent that got none announces
+    /// itself again in 0.3 s.
+    pub(super) fn notify_agent(
+        &mut self,
+        now: Time,
+        agent: Ipv4Addr,
+        is_local: bool,
+    ) -> Vec<Action> {
+        let pause_ms = if is_local { LOCAL_SEND_INTERVAL_MS } else { SEND_INTERVAL_MS };
+        let orders = self.latest_orders.revision();
+        let digest = self.snapshot(now).digest;
+        let sent = Sent { at: now, digest, orders };
+        let notification = self.pool.telling(agent, sent, pause_ms);
+        let receivers =
+            if notification == Telling::Addresses { self.receivers(now, is_local) } else { 0 };
+        let messages = match notification {
             Telling::Nothing => return Vec::new(),
-            Telling::Addresses if self.is_turn(now, agent, hearers) => {
-                self.pool.note_told(agent, told);
-                self.own_list(now)
+            Telling::Addresses if self.is_turn(now, agent, receivers) => {
+                self.pool.note_told(agent, sent);
+                self.address_lists(now)
             }
             Telling::Sign => {
-                self.pool.note_told(agent, told);
-                vec![self.sign(now)]
+                self.pool.note_told(agent, sent);
+                vec![self.heartbeat(now)]
             }
             Telling::Addresses => {
-                self.pool.note_told(agent, Told { digest: NO_LIST, ..told });
-                vec![self.sign(now)]
+                self.pool.note_told(agent, Sent { digest: NO_ADDRESSES, ..sent });
+                vec![self.heartbeat(now)]
             }
         };
         messages.into_iter().map(|message| Action::Send(agent, message)).collect()
     }
 
-    /// Whether it is this balancer's turn to answer a process's word with a list, where so many hear that word.
+    /// Returns whether this balancer is due to reply with a list to a message that `receivers`
+    /// balancers receive.
     ///
-    /// Guards against a process that never gets a list: whose turn it is changes for each process by itself, so that
-    /// none is left out because others always speak before it.
-    fn is_turn(&self, now: Time, to: Ipv4Addr, hearers: usize) -> bool {
+    /// Guards against a process that never gets a list: the replying balancers change for each
+    /// process independently, so that none is left out because others always send first.
+    fn is_turn(&self, now: Time, to: Ipv4Addr, receivers: usize) -> bool {
         let pair = u64::from(self.identity.address.to_bits()) << 32 | u64::from(to.to_bits());
-        let one_in = u64::try_from(hearers / LISTS).unwrap_or(u64::MAX).max(1);
+        let one_in = u64::try_from(receivers / EXPECTED_LISTS).unwrap_or(u64::MAX).max(1);
         mix(pair ^ mix(now.millis() / TURN_MS)).is_multiple_of(one_in)
     }
 
-    /// Balancers that hear an agent's word: those of its failure domain, or all if it is not of this one.
-    fn hearers(&mut self, now: Time, is_near: bool) -> usize {
-        let near = if is_near { self.domain_peers(now).len() + 1 } else { usize::MAX };
-        near.min(self.outlook(now).balancers.len())
+    /// Returns the number of balancers that receive an agent's announcement: those of this failure
+    /// domain if the agent is in it, otherwise all.
+    fn receivers(&mut self, now: Time, is_local: bool) -> usize {
+        let local = if is_local { self.domain_peers(now).len() + 1 } else { usize::MAX };
+        local.min(self.snapshot(now).balancers.len())
     }
 
-    /// This balancer's word with the addresses of all that it knows, in datagrams of bounded length.
-    fn own_list(&mut self, now: Time) -> Vec<Message> {
-        let word = self.word(now);
-        let balancers = self.outlook(now).balancers.clone();
+    /// Returns this balancer's state with all addresses that it knows, in datagrams of bounded
+    /// length.
+    fn address_lists(&mut self, now: Time) -> Vec<Message> {
+        let gossip = self.own_gossip(now);
+        let balancers = self.snapshot(now).balancers.clone();
         let part = |part: &[Ipv4Addr]| {
-            Message::Roster(Roster { balancers: part.to_vec(), ..word.clone() })
+            Message::Gossip(Gossip { balancers: part.to_vec(), ..gossip.clone() })
         };
-        balancers.chunks(ADDRESSES).map(part).collect()
+        balancers.chunks(ADDRESSES_PER_DATAGRAM).map(part).collect()
     }
 }
--- a/crates/nutmegkeel_core/src/l4/balancer/opening.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/opening.rs
@@ -8,20 +8,20 @@
 use crate::l4::cache::Place;
 use crate::l4::flow::Head;
 use crate::l4::health::Health;
-use crate::l4::message::{Demand, Insistence, Message, Offer};
+use crate::l4::message::{Admission, Demand, Message, Offer};
 use crate::l4::note::{Cause, Note};
 use crate::l4::placement::Need;
 use crate::l4::policy::Mechanism;
 use crate::l4::route::{Kind, Route, Service, Urgency};
 use crate::revision::Revision;
 
-/// An opening that has found no agent within this is refused, in milliseconds: its client gives it up
-/// after 1.4 s.
-pub(super) const LONGEST_MS: u64 = 1_100;
+/// Time after which an opening that has found no agent is refused, in milliseconds. Its client
+/// gives up after 1.4 s.
+pub(super) const MAX_OPENING_AGE_MS: u64 = 1_100;
 
 impl Balancer {
-    /// The copies of an opening go where the first went, or two backend servers would accept it;
-    /// unless that agent fell silent, or the route has moved since.
+    /// Handles an opening. Copies go to the agent of the first one, or two backend servers would
+    /// accept the flow; unless that agent has become silent, or the route has changed.
     pub(super) fn opening(&mut self, now: Time, head: &Head, route: &Route) -> Vec<Action> {
         let Some(service) = route.service(&head.flow) else {
             return self.reset(head, Cause::NoAgent, 0);
@@ -31,14 +31,14 @@
             && self.pool.health(now, agent) == Some(Health::Fresh)
             && self.pool.service(agent) == Some(service)
         {
-            let (waited_ms, returns) = (now.since(entry.began), entry.returns == Some(true));
-            let offer = self.offer(service, route, Insistence::IfInTime, waited_ms);
-            // A copy follows the first, whatever the orders are now: it must not tell the agent that its
-            // failure domain is open.
-            let offer = Offer { orders: Revision::ZERO, returns, ..offer };
+            let (waited_ms, is_retry) = (now.since(entry.started_at), entry.is_retry == Some(true));
+            let offer = self.offer(service, route, Admission::IfInTime, waited_ms);
+            // A copy follows the first opening whatever the current orders are, so it must not
+            // indicate to the agent that its failure domain is open.
+            let offer = Offer { orders: Revision::ZERO, is_retry, ..offer };
             return vec![Action::Forward(agent, Message::Open(offer))];
         }
-        if self.ledger.orders().is_none() {
+        if self.latest_orders.orders().is_none() {
             return self.keep(head, Cause::NoConfiguration);
         }
         self.place(now, head, service, route)
@@ -46,12 +46,12 @@
 
     /// Places a new flow at once, also while agents are still appearing.
     ///
-    /// The load pattern: after a loss of power clients come back within half a second, and so do hosts.
-    /// Openings that are held until all hosts are back go to agents in the same moment, and every
-    /// client among them is answered late. Placed at once, each waits at an agent, where those go
-    /// first that can be in time.
+    /// Matters after a power loss, when clients and hosts come back within the same half second.
+    /// Openings held until all hosts are back would reach the agents together, and all of their
+    /// clients would be answered late. Placed at once, each waits at an agent, which serves those
+    /// first that can still be in time.
     fn place(&mut self, now: Time, head: &Head, service: Service, route: &Route) -> Vec<Action> {
-        let returns = self.returns(now, head);
+        let is_retry = self.is_retry(now, head);
         let domain = Arc::clone(&self.identity.domain);
         let need = Need {
             key: head.flow.key(),
@@ -61,11 +61,12 @@
             domain: &domain,
             tried: &[],
         };
-        let in_vain = self.asks_in_vain(now, &head.flow, service);
+        let no_slot_free = self.has_no_free_slot(now, &head.flow, service);
         let entry = self.cache.entry(now, head.flow);
-        let (declined, waited_ms) = (entry.declined.clone(), now.since(entry.began));
+        let (declined, waited_ms) = (entry.declined.clone(), now.since(entry.started_at));
         let tries = declined.len();
-        let Some(selection) = self.select(now, need, &Attempt { declined, waited_ms, in_vain })
+        let Some(selection) =
+            self.select(now, need, &Attempt { declined, waited_ms, no_slot_free })
         else {
             return self.refuse(now, head, service, route.urgency, tries);
         };
@@ -76,17 +77,17 @@
         }
         self.cache.entry(now, head.flow).place = Some(Place::Placed(choice.agent));
         self.pool.placed(choice.agent);
-        let alone = self.pool.open_agents(now, &need) <= tried.len() + 1;
-        let insistence = if for_idle && !alone { Insistence::IfIdle } else { Insistence::IfInTime };
-        let note =
+        let is_last = self.pool.open_agents(now, &need) <= tried.len() + 1;
+        let admission = if for_idle && !is_last { Admission::IfIdle } else { Admission::IfInTime };
+        let decision =
             Note::Placed { flow: head.flow, choice, attempt: tries, version: self.table.version };
-        let offer = self.offer(service, route, insistence, waited_ms);
-        let offer = Offer { returns, ..offer };
-        vec![Action::Forward(choice.agent, Message::Open(offer)), Action::Note(note)]
+        let offer = self.offer(service, route, admission, waited_ms);
+        let offer = Offer { is_retry, ..offer };
+        vec![Action::Forward(choice.agent, Message::Open(offer)), Action::Note(decision)]
     }
 
-    /// No agent takes the opening. The client learns it at once, unless this balancer may simply not
-    /// have heard of an agent yet.
+    /// Handles an opening that no agent accepts. The client is refused at once, unless this
+    /// balancer may not know all agents yet.
     fn refuse(
         &mut self,
         now: Time,
@@ -95,8 +96,8 @@
         urgency: Urgency,
         tries: usize,
     ) -> Vec<Action> {
-        let waited_ms = now.since(self.cache.entry(now, head.flow).began);
-        if tries == 0 && !self.is_settled(now) && waited_ms <= LONGEST_MS {
+        let waited_ms = now.since(self.cache.entry(now, head.flow).started_at);
+        if tries == 0 && !self.knows_all_agents(now) && waited_ms <= MAX_OPENING_AGE_MS {
             return self.keep(head, Cause::NoAgent);
         }
         if tries > 0 && self.identity.policy.uses(Mechanism::Room) {
@@ -115,7 +116,7 @@
         &self,
         service: Service,
         route: &Route,
-        insistence: Insistence,
+        admission: Admission,
         waited_ms: u64,
     ) -> Offer {
         let demand = Demand {
@@ -127,12 +128,12 @@
         let waited_ms = u32::try_from(waited_ms).unwrap_or(u32::MAX);
         Offer {
             service,
-            insistence,
+            admission,
             demand,
             waited_ms,
-            orders: self.ledger.revision(),
+            orders: self.latest_orders.revision(),
             cold_per_s: self.table.cold_per_s.get(&service).copied().unwrap_or(0),
-            returns: false,
+            is_retry: false,
         }
     }
 }
--- a/crates/nutmegkeel_core/src/l4/balancer/peers.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/peers.rs
@@ -1,4 +1,5 @@
-//! The other balancers: who they are, what they last said, and what this one tells them.
+//! The other balancers: their addresses, their last reported states, and what this balancer sends
+//! them.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -6,155 +7,167 @@
 use super::{Action, Balancer, TICK_MS};
 use crate::clock::Time;
 use crate::l4::fetch::Holder;
-use crate::l4::message::{Message, Roster};
+use crate::l4::message::{Gossip, Message};
 use crate::l4::note::Note;
+use crate::l4::peer_state::VALID_MS;
 use crate::l4::placement::Change;
-use crate::l4::word::COUNTED_MS;
 
-/// Peers of the own failure domain told in one tick, and as many of the others: a sign costs bytes for each
-/// pair, and a balancer still hears all of its own domain within a few ticks.
+/// Number of peers of the own failure domain that are sent a message per tick, and of all other
+/// peers. Each pair of balancers costs bytes; with this limit, a balancer still receives the states
+/// of its own domain within a few ticks.
 pub(super) const PEERS_PER_TICK: usize = 8;
 
-/// Balancers that spoke within this time at least are passed on, in milliseconds.
-const SPOKEN_OF_MS: u64 = 5_000;
+/// Minimum time for which a balancer's address is forwarded after its last message, in
+/// milliseconds.
+const RECENT_MS: u64 = 5_000;
 
 impl Balancer {
-    /// Tells the next few of the other balancers what this one knows; a delegate tells its whole failure domain.
+    /// Sends this balancer's state to the next few of the others. A delegate sends it to its whole
+    /// failure domain.
     ///
-    /// Guards against a failure domain for which nobody reads the store: in turns of a few, a large domain would
-    /// take many seconds to notice that both its delegates are dead.
-    pub(super) fn gossip(&mut self, now: Time) -> Vec<Action> {
-        let (near, far) = self.peers_by_domain();
-        let sign = self.sign(now);
-        let turn = self.turn;
-        let few = if self.watches(now) { near.len() } else { PEERS_PER_TICK };
-        let told = next_few(&near, turn, few).chain(next_few(&far, turn, PEERS_PER_TICK));
-        let actions = told.map(|peer| Action::Send(peer, sign.clone())).collect();
-        let ticks = near.len().max(far.len()).div_ceil(PEERS_PER_TICK);
-        self.words.set_round(u64::try_from(ticks).unwrap_or(u64::MAX).saturating_mul(TICK_MS));
-        self.turn = self.turn.wrapping_add(PEERS_PER_TICK);
+    /// Guards against a failure domain for which no balancer reads the store: with a few receivers
+    /// per tick, it would take many seconds in a large domain to detect that both delegates are
+    /// dead.
+    pub(super) fn send_gossip(&mut self, now: Time) -> Vec<Action> {
+        let (local, remote) = self.peers_by_domain();
+        let heartbeat = self.heartbeat(now);
+        let turn = self.gossip_turn;
+        let few = if self.watches(now) { local.len() } else { PEERS_PER_TICK };
+        let receivers = next_few(&local, turn, few).chain(next_few(&remote, turn, PEERS_PER_TICK));
+        let actions = receivers.map(|peer| Action::Send(peer, heartbeat.clone())).collect();
+        let ticks = local.len().max(remote.len()).div_ceil(PEERS_PER_TICK);
+        self.peer_states
+            .set_round(u64::try_from(ticks).unwrap_or(u64::MAX).saturating_mul(TICK_MS));
+        self.gossip_turn = self.gossip_turn.wrapping_add(PEERS_PER_TICK);
         actions
     }
 
-    /// The peers of the own failure domain, and the others.
+    /// Returns the peers of the own failure domain, and the others.
     fn peers_by_domain(&self) -> (Vec<Ipv4Addr>, Vec<Ipv4Addr>) {
-        let is_near = |peer: &Ipv4Addr| {
-            self.words.get(*peer).is_some_and(|word| *word.domain == *self.identity.domain)
+        let is_local = |peer: &Ipv4Addr| {
+            self.peer_states.get(*peer).is_some_and(|state| *state.domain == *self.identity.domain)
         };
-        self.peers.iter().partition(is_near)
+        self.peers.iter().partition(is_local)
     }
 
-    /// Tells the whole failure domain of something new at once: a configuration, or that the store answers
-    /// this balancer no more. Far domains have delegates of their own.
-    pub(super) fn tell_domain(&mut self, now: Time) -> Vec<Action> {
-        let sign = self.sign(now);
-        let (near, _) = self.peers_by_domain();
-        near.into_iter().map(|peer| Action::Send(peer, sign.clone())).collect()
+    /// Notifies the whole failure domain at once of a new configuration, or that the store no
+    /// longer answers this balancer. Other failure domains have their own delegates.
+    pub(super) fn notify_domain(&mut self, now: Time) -> Vec<Action> {
+        let heartbeat = self.heartbeat(now);
+        let (local, _) = self.peers_by_domain();
+        local.into_iter().map(|peer| Action::Send(peer, heartbeat.clone())).collect()
     }
 
-    /// Notes which balancers and agents changed since the last tick.
-    pub(super) fn note_turnover(&mut self) -> Vec<Action> {
+    /// Logs which balancers and agents changed since the last tick.
+    pub(super) fn log_changes(&mut self) -> Vec<Action> {
         let (peers, agents) = (self.peers.len(), self.pool.len());
         let balancers = self.balancers_changed.take();
-        let balancers = balancers.map(|turnover| Note::Balancers { turnover, known: peers });
+        let balancers = balancers.map(|changes| Note::Balancers { changes, known: peers });
         let changed = self.agents_changed.take();
-        let changed = changed.map(|turnover| Note::Agents { turnover, known: agents });
+        let changed = changed.map(|changes| Note::Agents { changes, known: agents });
         balancers.into_iter().chain(changed).map(Action::Note).collect()
     }
 
-    /// Whether this balancer watches the store for its failure domain.
+    /// Returns whether this balancer watches the store for its failure domain.
     #[must_use]
     pub fn watches(&self, now: Time) -> bool {
         self.delegate_rank(now).is_some()
     }
 
-    /// Its place among the delegates of its failure domain, if it is one.
+    /// Returns its rank among the delegates of its failure domain, if it is one.
     #[must_use]
     pub fn delegate_rank(&self, now: Time) -> Option<usize> {
         if self.leaving {
             return None;
         }
         let own = (self.identity.address, self.reaches_store);
-        let delegates = self.words.delegates(now, &self.identity.domain, Some(own), COUNTED_MS);
+        let delegates = self.peer_states.delegates(now, &self.identity.domain, Some(own), VALID_MS);
         delegates.iter().position(|delegate| *delegate == self.identity.address)
     }
 
-    /// Takes in whether the store answered.
+    /// Records whether the store answered.
     pub(super) fn store_answered(&mut self, now: Time, answered: bool) -> Vec<Action> {
         if self.reaches_store == answered {
             return Vec::new();
         }
         self.reaches_store = answered;
-        self.tell_domain(now)
+        self.notify_domain(now)
     }
 
-    pub(super) fn roster(&mut self, now: Time, from: Ipv4Addr, roster: &Roster) -> Vec<Action> {
+    pub(super) fn apply_gossip(
+        &mut self,
+        now: Time,
+        from: Ipv4Addr,
+        gossip: &Gossip,
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
-        if let Some(orders) = &roster.orders {
-            actions.extend(self.hear_orders(now, roster, orders));
+        if let Some(orders) = &gossip.orders {
+            actions.extend(self.apply_peer_orders(now, gossip, orders));
         }
-        if roster.leaving {
-            self.words.hear(now, from, roster);
-            if self.peers.knows(from) {
+        if gossip.leaving {
+            self.peer_states.apply(now, from, gossip);
+            if self.peers.contains(from) {
                 self.peers.remove(from);
-                self.outlook = None;
-                self.balancers_changed.note(from, Change::Closed);
+                self.snapshot = None;
+                self.balancers_changed.record(from, Change::Closed);
             }
             return actions;
         }
-        let news = self.words.get(from).is_none_or(|word| word.version == 0);
-        self.words.hear(now, from, roster);
-        if news && roster.version > 0 && self.table.version == 0 {
+        let was_unconfigured = self.peer_states.get(from).is_none_or(|state| state.version == 0);
+        self.peer_states.apply(now, from, gossip);
+        if was_unconfigured && gossip.version > 0 && self.table.version == 0 {
             actions.extend(self.recall(now));
         }
-        // Only a balancer's own word keeps it: others would repeat a dead one to each other.
-        let is_new = self.peers.heard(now, from);
+        // Only a balancer's own message refreshes it. Otherwise, others would keep a dead balancer
+        // alive by reporting it to each other.
+        let is_new = self.peers.refresh(now, from);
         if is_new {
-            self.outlook = None;
-            self.balancers_changed.note(from, Change::Appeared);
+            self.snapshot = None;
+            self.balancers_changed.record(from, Change::Appeared);
         }
-        let list = self.list_for(now, from, roster, is_new);
-        if is_new && list.is_empty() {
-            actions.push(Action::Send(from, self.sign(now)));
+        let lists = self.addresses_for(now, from, gossip, is_new);
+        if is_new && lists.is_empty() {
+            actions.push(Action::Send(from, self.heartbeat(now)));
         }
-        actions.extend(list.into_iter().map(|part| Action::Send(from, part)));
-        actions.extend(self.listed(now, &roster.balancers));
-        if roster.version > self.table.version {
-            actions.push(Action::Fetch(Holder { address: from, version: roster.version }));
+        actions.extend(lists.into_iter().map(|part| Action::Send(from, part)));
+        actions.extend(self.listed(now, &gossip.balancers));
+        if gossip.version > self.table.version {
+            actions.push(Action::Fetch(Holder { address: from, version: gossip.version }));
         }
         actions
     }
 
     pub(super) fn listed(&mut self, now: Time, balancers: &[Ipv4Addr]) -> Vec<Action> {
         let mut actions = Vec::new();
-        let mut strangers = Vec::new();
+        let mut unknown = Vec::new();
         for balancer in balancers {
-            let is_leaving = self.words.get(*balancer).is_some_and(|word| word.leaving);
-            if *balancer != self.identity.address && !is_leaving && !self.peers.knows(*balancer) {
-                self.peers.heard(now, *balancer);
-                self.balancers_changed.note(*balancer, Change::Appeared);
-                strangers.push(*balancer);
+            let is_leaving = self.peer_states.get(*balancer).is_some_and(|state| state.leaving);
+            if *balancer != self.identity.address && !is_leaving && !self.peers.contains(*balancer)
+            {
+                self.peers.refresh(now, *balancer);
+                self.balancers_changed.record(*balancer, Change::Appeared);
+                unknown.push(*balancer);
             }
         }
-        if strangers.is_empty() {
+        if unknown.is_empty() {
             return actions;
         }
-        self.outlook = None;
-        let sign = self.sign(now);
-        actions.extend(strangers.into_iter().map(|peer| Action::Send(peer, sign.clone())));
+        self.snapshot = None;
+        let heartbeat = self.heartbeat(now);
+        actions.extend(unknown.into_iter().map(|peer| Action::Send(peer, heartbeat.clone())));
         actions
     }
 
     pub(super) fn leave(&mut self, now: Time) -> Vec<Action> {
         self.leaving = true;
-        self.outlook = None;
-        let sign = self.sign(now);
-        self.peers.iter().map(|peer| Action::Send(peer, sign.clone())).collect()
+        self.snapshot = None;
+        let heartbeat = self.heartbeat(now);
+        self.peers.iter().map(|peer| Action::Send(peer, heartbeat.clone())).collect()
     }
 
-    /// Balancers that this one has heard of lately, itself among them.
+    /// Returns the balancers that were seen recently, including this one.
     pub(super) fn known(&self, now: Time) -> Vec<Ipv4Addr> {
-        let mut balancers = self.peers.heard_within(now, self.words.counted_ms().max(SPOKEN_OF_MS));
+        let mut balancers = self.peers.seen_within(now, self.peer_states.valid_ms().max(RECENT_MS));
         if !self.leaving {
             balancers.push(self.identity.address);
         }
@@ -162,16 +175,16 @@
         balancers
     }
 
-    /// This balancer's word without addresses, for those who are likely to know them.
-    pub(super) fn sign(&mut self, now: Time) -> Message {
-        Message::Roster(self.word(now))
+    /// Returns this balancer's state without addresses, for receivers that probably know them.
+    pub(super) fn heartbeat(&mut self, now: Time) -> Message {
+        Message::Gossip(self.own_gossip(now))
     }
 
-    pub(super) fn word(&mut self, now: Time) -> Roster {
-        let outlook = self.outlook(now);
-        let (digest, known) = (outlook.digest, outlook.count());
-        let agents = u32::try_from(outlook.agents).unwrap_or(u32::MAX);
-        Roster {
+    pub(super) fn own_gossip(&mut self, now: Time) -> Gossip {
+        let snapshot = self.snapshot(now);
+        let (digest, known) = (snapshot.digest, snapshot.count());
+        let agents = u32::try_from(snapshot.agents).unwrap_or(u32::MAX);
+        Gossip {
             version: self.table.version,
             domain: Arc::clone(&self.identity.domain),
             digest,
@@ -180,12 +193,12 @@
             agents,
             reaches_store: self.reaches_store,
             leaving: self.leaving,
-            orders: self.ledger.orders().cloned(),
+            orders: self.latest_orders.orders().cloned(),
         }
     }
 }
 
-/// The next few of the peers, after so many have been told.
+/// Returns the next `few` peers in turn, starting at `turn`.
 pub(super) fn next_few(
     peers: &[Ipv4Addr],
     turn: usize,
--- a/crates/nutmegkeel_core/src/l4/balancer/shortage.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/shortage.rs
@@ -1,4 +1,5 @@
-//! Openings of a service that is short of room: where there is some left, and which are refused at once.
+//! Handles openings of a service that is short of room: finds remaining room and refuses openings
+//! that cannot be served.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,17 +14,17 @@
 use crate::l4::route::{Route, Service, Table, Urgency};
 use crate::l4::status;
 
-/// What a balancer knows of want of room besides the agents' reports.
+/// Known shortage of room, beyond what the agents report.
 #[derive(Debug, Default)]
-pub(super) struct Memory {
-    crowds: Crowds,
-    returns: Returns,
+pub(super) struct Tracker {
+    congestion: Crowds,
+    retries: Returns,
     /// Degrees of urgency among the routes of each service.
     degrees: BTreeMap<Service, BTreeSet<Urgency>>,
 }
 
-impl Memory {
-    /// Takes in the routes in force.
+impl Tracker {
+    /// Applies the routes in force.
     pub(super) fn configured(&mut self, table: &Table) {
         self.degrees.clear();
         for route in table.routes.values() {
@@ -34,12 +35,12 @@
     }
 
     pub(super) fn expire(&mut self, now: Time) {
-        self.crowds.expire(now);
-        self.returns.expire(now);
+        self.congestion.expire(now);
+        self.retries.expire(now);
     }
 
-    /// How much of what waits is taken to go before a request. Which requests wait where is not known, so
-    /// each degree is taken to have the same part.
+    /// Estimates which part of the waiting requests is served before a request. It is unknown which
+    /// requests wait where, so each degree of urgency is assumed to have the same part.
     fn rank(&self, service: Service, urgency: Urgency) -> Rank {
         let count = |count: usize| u64::try_from(count).unwrap_or(u64::MAX);
         self.degrees.get(&service).map_or(Rank::FIRST, |degrees| Rank {
@@ -50,8 +51,8 @@
 }
 
 impl Balancer {
-    /// The agent for an opening where openings go by room. One that is past the usual limits of tries and
-    /// time goes on as long as a slot is believed free, and its client waits.
+    /// Chooses the agent for an opening by room. An opening that has exceeded the usual limits of
+    /// tries and time goes on as long as a slot is believed to be free and its client still waits.
     pub(super) fn choose_by_room(
         &self,
         now: Time,
@@ -64,33 +65,36 @@
         (may_try || goes_on).then_some(choice)
     }
 
-    /// Whether it is in vain to ask agents for a free slot for this flow.
+    /// Returns whether asking agents for a free slot is known to fail for this flow.
     ///
-    /// Guards against a crowd in which every opening is handed back twice before it may wait: three times
-    /// the messages, when hosts are busiest.
-    pub(super) fn asks_in_vain(&self, now: Time, flow: &Flow, service: Service) -> bool {
-        self.memory.crowds.is_certain(now, (flow.service, service))
+    /// Guards against an overload in which every opening is returned twice before it may wait,
+    /// which takes three times as many messages when hosts are busiest.
+    pub(super) fn has_no_free_slot(&self, now: Time, flow: &Flow, service: Service) -> bool {
+        self.shortage.congestion.is_certain(now, (flow.service, service))
     }
 
-    /// Whether a first opening comes of a client that was refused; asked once for each flow.
-    pub(super) fn returns(&mut self, now: Time, head: &Head) -> bool {
+    /// Returns whether a first opening comes from a client that was refused before. Looked up once
+    /// per flow.
+    pub(super) fn is_retry(&mut self, now: Time, head: &Head) -> bool {
         if !self.identity.policy.uses(Mechanism::Room) {
             return false;
         }
-        if let Some(returns) = self.cache.entry(now, head.flow).returns {
-            return returns;
+        if let Some(is_retry) = self.cache.entry(now, head.flow).is_retry {
+            return is_retry;
         }
-        // A copy may come of an opening that was refused: that is no return.
-        let returns = head.ack == 0 && self.memory.returns.claim(now, &head.flow);
-        self.cache.entry(now, head.flow).returns = Some(returns);
-        returns
+        // A copy of a refused opening is not a retry by its client.
+        let is_retry = head.ack == 0 && self.shortage.retries.claim(now, &head.flow);
+        self.cache.entry(now, head.flow).is_retry = Some(is_retry);
+        is_retry
     }
 
-    /// Why an opening must be refused now, though an agent could be asked; none if it need not be.
+    /// Returns why an opening must be refused now, although an agent could be asked; none if it
+    /// need not be refused.
     ///
-    /// Guards against requests that wait until their deadline in vain and keep slots from others. Only what
-    /// the agents' own reports rule out is refused, and not before the crowd has lasted: a shorter one is
-    /// worked off. A client that was refused is not refused again here when it comes back.
+    /// Guards against requests that wait until their deadline without success and occupy slots that
+    /// others need. An opening is refused only if the agents' own reports rule it out, and only
+    /// once the overload has lasted for some time, because a shorter one clears by itself. A client
+    /// that was refused is not refused again here when it retries.
     pub(super) fn shortage(
         &mut self,
         now: Time,
@@ -104,26 +108,26 @@
         }
         let place = (head.flow.service, need.service);
         if self.pool.is_free(now, choice.agent) {
-            self.memory.crowds.note_free(place);
+            self.shortage.congestion.note_free(place);
             return None;
         }
-        let lasted_ms = self.memory.crowds.note_full(now, place);
+        let lasted_ms = self.shortage.congestion.note_full(now, place);
         let entry = self.cache.entry(now, head.flow);
-        let waited_ms = now.since(entry.began);
-        if lasted_ms <= CROWD_MS || entry.returns == Some(true) {
+        let waited_ms = now.since(entry.started_at);
+        if lasted_ms <= CROWD_MS || entry.is_retry == Some(true) {
             return None;
         }
         let rank = if self.identity.policy.uses(Mechanism::Urgency) {
-            self.memory.rank(need.service, route.urgency)
+            self.shortage.rank(need.service, route.urgency)
         } else {
             Rank::FIRST
         };
         let soonest = self.pool.soonest(now, need, rank);
         let left_ms = route.deadline_ms.saturating_sub(waited_ms);
-        // An agent that this balancer has not heard of yet may have room.
+        // An agent that is still unknown here may have room.
         let is_ruled_out = soonest.servers > 0 && soonest.least_ms > left_ms;
         let (servers, least_ms) = (soonest.servers, soonest.least_ms);
-        (is_ruled_out && self.is_settled(now)).then_some(Shortage {
+        (is_ruled_out && self.knows_all_agents(now)).then_some(Shortage {
             servers,
             least_ms,
             left_ms,
@@ -131,7 +135,7 @@
         })
     }
 
-    /// Refuses an opening for want of room, and remembers its caller.
+    /// Refuses an opening for lack of room, and records its caller.
     pub(super) fn refuse_for_room(
         &mut self,
         now: Time,
@@ -140,16 +144,16 @@
         asked: usize,
         shortage: Option<Shortage>,
     ) -> Vec<Action> {
-        self.memory.returns.refused(now, &head.flow);
+        self.shortage.retries.refused(now, &head.flow);
         self.cache.remove(&head.flow);
         let cause = if shortage.is_some() { Cause::NoRoom } else { Cause::AllDeclined };
-        let note = Note::Refused { flow: head.flow, cause, urgency, asked, shortage };
+        let decision = Note::Refused { flow: head.flow, cause, urgency, asked, shortage };
         let reset = self.reset(head, cause, asked);
         let reset = reset.into_iter().filter(|action| matches!(action, Action::Reset { .. }));
-        reset.chain([Action::Note(note)]).collect()
+        reset.chain([Action::Note(decision)]).collect()
     }
 
-    /// The room of each service by failure domain, where openings go by it.
+    /// Returns the room of each service by failure domain, if openings are placed by room.
     #[must_use]
     pub fn rooms(&self, now: Time) -> Vec<status::Room> {
         if !self.identity.policy.uses(Mechanism::Room) {
@@ -170,7 +174,8 @@
             .collect()
     }
 
-    /// The first route that names a service, by which operators know it.
+    /// Returns the name of the first route that uses a service. Operators know the service by this
+    /// name.
     fn route_of(&self, service: Service) -> Option<Arc<str>> {
         let names = |route: &&Route| route.shares.iter().any(|share| share.service == service);
         self.table.routes.values().find(names).map(|route| Arc::clone(&route.name))
--- a/crates/nutmegkeel_core/tests/l4/balancer.rs
+++ b/crates/nutmegkeel_core/tests/l4/balancer.rs
@@ -1,7 +1,7 @@
 use nutmegkeel_core::l4::balancer::{Action, Balancer, Event};
 use nutmegkeel_core::l4::evacuation::Orders;
 use nutmegkeel_core::l4::fetch::Holder;
-use nutmegkeel_core::l4::message::{Insistence, Load, Message, Offer, Reason, State};
+use nutmegkeel_core::l4::message::{Admission, Load, Message, Offer, Reason, State};
 use nutmegkeel_core::l4::policy::{Mechanism, Policy};
 use nutmegkeel_core::l4::route::Service;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_copy_goes_elsewhere_when_the_first_agent_fell_silent() {
+fn a_copy_goes_to_another_agent_when_the_first_one_is_silent() {
     let mut balancer = balancer(&[1, 2, 3]);
     let first = forwarded(&balancer.handle(at(3_000), Event::Client(opening(flow(1), 0))));
     let others: Vec<u8> = [1, 2, 3].into_iter().filter(|n| Some(host(*n)) != first).collect();
@@ -38,9 +38,10 @@
     assert_ne!(copy, first);
 }
 
-/// A feed breaks off with a reset while its backend server serves. Two agents refused its opening
-/// for want of a slot, one of them took it when asked again, and a copy that another agent took moved
-/// the balancer's note there. The search for the flow then left out whoever had refused the opening.
+/// Guards against an open flow that is reset while its backend server is alive. An agent that
+/// refused the opening for lack of a slot accepts it when asked again, and a copy moves the
+/// balancer's cache entry to another agent. The search must not leave out agents that refused the
+/// opening.
 #[test]
 fn an_agent_that_refused_an_opening_is_asked_for_the_flow() {
     let mut balancer = balancer(&[1, 2]);
@@ -75,8 +76,8 @@
     assert!(actions.contains(&Action::Reset { flow: flow(1), seq: 500 }), "{actions:?}");
 }
 
-/// A feed breaks off with a reset during a planned restart. Its agent's process is being replaced, a
-/// balancer that does not know the flow asks all others, and nobody else holds it.
+/// Guards against a reset during a planned restart: the agent that holds the flow is being
+/// replaced, and all other agents report that they do not hold it.
 #[test]
 fn a_flow_is_not_reset_while_an_agent_restarts() {
     let mut balancer = balancer(&[1, 2]);
@@ -91,10 +92,10 @@
     assert!(!resets(&actions), "{actions:?}");
 }
 
-/// A feed hangs until its client's own timeout although its agent is dead: the client has sent its
-/// request and waits, so nothing of it arrives that could be answered with a reset.
+/// Guards against a client that waits for its own timeout although its agent is dead. It has sent
+/// its request and sends no further packet that a reset could answer.
 #[test]
-fn clients_of_a_dead_agent_are_told_without_asking() {
+fn flows_of_a_dead_agent_are_reset_without_a_packet() {
     let mut balancer = balancer(&[1, 2, 3]);
     let packet = data(flow(1), 1_001, 500);
     balancer.handle(at(3_000), Event::Client(packet));
@@ -107,10 +108,10 @@
     assert!(actions.contains(&Action::Reset { flow: flow(1), seq: 500 }), "{actions:?}");
 }
 
-/// Feeds of healthy servers break off when another host dies. Their balancer was just asking the
-/// dead agent for them, and took the answer that never came for the flow's place.
+/// Guards against flows of live servers that are reset when another host dies. The balancer had
+/// only asked the dead agent for the flow and must not take that for the flow's location.
 #[test]
-fn a_flow_that_was_only_asked_for_at_a_dead_agent_is_kept() {
+fn a_flow_is_not_reset_when_an_agent_that_was_asked_for_it_dies() {
     let mut balancer = balancer(&[1, 2, 3]);
     let packet = data(flow(1), 1_001, 500);
     let asked = forwarded(&balancer.handle(at(3_000), Event::Client(packet)));
@@ -122,10 +123,10 @@
     assert!(!resets(&actions), "{actions:?}");
 }
 
-/// All feeds of a balancer break off after its host stood still for three seconds: it has heard no
-/// announcement, and takes every agent for dead.
+/// Guards against resetting all flows of a balancer whose host was stalled for three seconds. It
+/// received no announcements in that time and would take every agent for dead.
 #[test]
-fn a_balancer_that_stood_still_takes_nobody_for_dead() {
+fn a_stalled_balancer_resets_no_flows() {
     let mut balancer = balancer(&[1, 2, 3]);
     let holds = Event::Holds { from: host(1), flow: flow(1), load: Load::default() };
     balancer.handle(at(3_001), holds);
@@ -136,11 +137,11 @@
     assert!(!resets(&actions), "{actions:?}");
 }
 
-/// After a loss of power a client waits for the answer on a flow that no longer exists. Its packet
-/// came while agents were still appearing, and its next copy comes 1.6 s later. The balancer tells it
-/// as soon as all agents have answered.
+/// Guards against a client that waits on a lost flow after a power loss. Its packet arrives while
+/// agents are still appearing, and its next copy follows only after 1.6 s. The balancer must reset
+/// the flow as soon as all agents have answered.
 #[test]
-fn a_client_that_waits_is_told_once_the_agents_are_known() {
+fn a_waiting_client_is_reset_once_all_agents_are_known() {
     let mut balancer = balancer(&[]);
     announce(&mut balancer, &[1], 3_000, 3_000);
     let packet = data(flow(1), 1_001, 500);
@@ -155,34 +156,34 @@
 }
 
 #[test]
-fn an_opening_asks_for_an_idle_slot_twice_and_then_insists() {
+fn an_opening_asks_for_an_idle_slot_twice_and_then_may_wait() {
     let mut balancer = balancer(&[1, 2, 3, 4]);
     let head = opening(flow(1), 0);
     let mut actions = balancer.handle(at(3_000), Event::Client(head));
-    let mut insistences = Vec::new();
+    let mut admissions = Vec::new();
     for step in 0..3 {
-        let (agent, insistence) = actions
+        let (agent, admission) = actions
             .iter()
             .find_map(|action| match action {
-                Action::Forward(agent, Message::Open(Offer { insistence, .. })) => {
-                    Some((*agent, *insistence))
+                Action::Forward(agent, Message::Open(Offer { admission, .. })) => {
+                    Some((*agent, *admission))
                 }
                 _ => None,
             })
             .expect("an agent is asked");
-        insistences.push(insistence);
+        admissions.push(admission);
         let event = declined(agent.octets()[3], head, Reason::Busy);
         actions = balancer.handle(at(3_001 + step), event);
     }
 
-    let expected = [Insistence::IfIdle, Insistence::IfIdle, Insistence::IfInTime];
-    assert_eq!(insistences, expected);
+    let expected = [Admission::IfIdle, Admission::IfIdle, Admission::IfInTime];
+    assert_eq!(admissions, expected);
 }
 
-/// Openings that waited at one agent until their clients gave up were passed on to the next, which
-/// gave its slots to clients that had gone: the system stayed overloaded long after a burst.
+/// Guards against openings that waited at one agent until their clients gave up and are then
+/// offered to the next one, which wastes its slots: the fleet stays overloaded long after a burst.
 #[test]
-fn an_opening_is_not_passed_on_when_its_client_has_given_up() {
+fn an_opening_is_not_offered_again_when_its_client_has_given_up() {
     let mut balancer = balancer(&[1, 2, 3]);
     let head = opening(flow(1), 0);
     let first = forwarded(&balancer.handle(at(3_000), Event::Client(head)));
@@ -195,8 +196,8 @@
     assert!(resets(&actions), "{actions:?}");
 }
 
-/// A client whose copy of an opening was accepted elsewhere loses that flow, because the balancer of
-/// the first copy refuses it with a number that the open flow accepts.
+/// Guards against a reset that closes a flow which a copy of the same opening has opened elsewhere.
+/// The reset by the balancer of the first copy must not carry a number that the open flow accepts.
 #[test]
 fn a_refused_opening_is_reset_with_a_number_that_no_open_flow_has() {
     let mut balancer = balancer(&[1]);
@@ -209,7 +210,7 @@
 }
 
 #[test]
-fn an_older_configuration_never_comes_back() {
+fn an_older_configuration_is_ignored() {
     let mut balancer = balancer(&[1]);
     balancer.handle(at(3_000), Event::Configured(table(5, &[])));
 
@@ -239,35 +240,35 @@
 fn a_peer_with_a_newer_configuration_is_asked_for_it() {
     let mut balancer = balancer(&[1]);
     let peer = host(77);
-    let roster = roster(9, &[peer], 0);
+    let gossip = roster(9, &[peer], 0);
 
-    let actions = balancer.handle(at(3_000), Event::Roster(peer, roster));
+    let actions = balancer.handle(at(3_000), Event::Gossip(peer, gossip));
 
     let holder = Holder { address: peer, version: 9 };
     assert!(actions.contains(&Action::Fetch(holder)), "{actions:?}");
 }
 
 #[test]
-fn a_leaving_balancer_is_not_ready_and_says_so() {
+fn a_leaving_balancer_is_not_ready_and_reports_it() {
     let mut balancer = balancer(&[1]);
     let peer = host(77);
-    let roster = roster(1, &[peer], 0);
-    balancer.handle(at(3_000), Event::Roster(peer, roster));
+    let gossip = roster(1, &[peer], 0);
+    balancer.handle(at(3_000), Event::Gossip(peer, gossip));
     let before = balancer.is_ready(at(3_001));
 
     let actions = balancer.handle(at(3_001), Event::Leave);
 
     assert!(before);
     assert!(!balancer.is_ready(at(3_002)));
-    let tells = |action: &Action| {
-        matches!(action, Action::Send(to, Message::Roster(roster))
-            if *to == peer && roster.leaving && !roster.balancers.contains(&BALANCER))
+    let reports_leaving = |action: &Action| {
+        matches!(action, Action::Send(to, Message::Gossip(gossip))
+            if *to == peer && gossip.leaving && !gossip.balancers.contains(&BALANCER))
     };
-    assert!(actions.iter().any(tells), "{actions:?}");
+    assert!(actions.iter().any(reports_leaving), "{actions:?}");
 }
 
 #[test]
-fn a_balancer_that_hears_of_few_agents_is_not_ready() {
+fn a_balancer_that_receives_few_announcements_is_not_ready() {
     let mut balancer = balancer(&[1, 2, 3, 4]);
 
     announce(&mut balancer, &[1], 3_300, 6_000);
@@ -275,8 +276,8 @@
     assert!(!balancer.is_ready(at(6_000)));
 }
 
-/// Filings are answered 600 ms late whenever a server is added at high load: the balancer let openings
-/// that found two busy agents wait for a copy, as it does after a loss of power.
+/// Guards against answers that are 600 ms late whenever a server is added at high load, because an
+/// opening that found two busy agents waits for its copy, as it does after a power loss.
 #[test]
 fn an_opening_does_not_wait_for_a_copy_when_one_agent_is_added() {
     let mut balancer = balancer(&[1, 2]);
@@ -292,8 +293,8 @@
     assert!(third.is_some());
 }
 
-/// A balancer asked for one flow 40 times in five seconds: the agent had said that it holds the flow,
-/// but the note that its client waits for a decision stayed, and each look began the search anew.
+/// Guards against repeated searches for a flow whose agent has answered. The entry that the client
+/// waits for a decision stayed, so each review restarted the search.
 #[test]
 fn a_flow_that_was_found_is_not_searched_again() {
     let mut balancer = balancer(&[]);
@@ -314,15 +315,15 @@
     assert_eq!(forwarded(&next), Some(host(1)));
 }
 
-/// A feed breaks off with a reset while its server serves. Its balancer had just started, and the
-/// flow's agent had not learnt of it yet; the other agents held nothing. Other balancers knew more
-/// agents.
+/// Guards against a reset of a flow whose server is alive, by a balancer that has just started. The
+/// flow's agent does not know it yet, and the agents that do know it hold nothing; but another
+/// balancer knows more agents.
 #[test]
-fn a_balancer_that_hears_of_fewer_agents_than_others_resets_nothing() {
+fn a_balancer_that_knows_fewer_agents_than_others_resets_nothing() {
     let mut balancer = balancer(&[1]);
     let peer = host(77);
-    let roster = roster(1, &[peer], 2);
-    balancer.handle(at(3_000), Event::Roster(peer, roster));
+    let gossip = roster(1, &[peer], 2);
+    balancer.handle(at(3_000), Event::Gossip(peer, gossip));
     let packet = data(flow(1), 1_001, 500);
     balancer.handle(at(3_001), Event::Client(packet));
 
@@ -331,13 +332,14 @@
     assert!(!resets(&actions), "{actions:?}");
 }
 
-/// The store is down for longer than agents remember balancers that nobody speaks of. Agents whose
-/// view agrees with that of the balancers heard nothing from them, dropped them all and fell silent.
+/// Guards against agents that remove all balancers and stop announcing themselves when the store is
+/// down for longer than they keep balancers. An agent with the same view as the balancers got no
+/// message from them.
 #[test]
-fn agents_that_know_all_balancers_are_told_again() {
+fn agents_that_know_all_balancers_are_sent_a_message_again() {
     let mut balancer = balancer(&[1]);
-    let told = |actions: Vec<Action>| {
-        actions.iter().any(|action| matches!(action, Action::Send(_, Message::Roster(_))))
+    let is_sent = |actions: Vec<Action>| {
+        actions.iter().any(|action| matches!(action, Action::Send(_, Message::Gossip(_))))
     };
     let mut agreeing = word(9_000, State::Ready, Load::default());
     agreeing.balancers = nutmegkeel_core::l4::roster::digest([BALANCER].into_iter());
@@ -346,14 +348,14 @@
     let soon = balancer.handle(at(4_300), Event::Announced(host(1), agreeing.clone()));
     let later = balancer.handle(at(4_600), Event::Announced(host(1), agreeing));
 
-    assert!(!told(soon));
-    assert!(told(later));
+    assert!(!is_sent(soon));
+    assert!(is_sent(later));
 }
 
-/// A balancer asks for flows of clients that are long gone, for as long as an agent that may hold them
-/// does not answer.
+/// Guards against searches for flows whose clients have given up long ago, for as long as an agent
+/// that may hold them does not answer.
 #[test]
-fn a_client_that_waited_too_long_is_given_up() {
+fn a_search_ends_when_its_client_has_given_up() {
     let mut balancer = balancer(&[1]);
     let packet = data(flow(1), 1_001, 500);
     balancer.handle(at(3_000), Event::Client(packet));
@@ -362,8 +364,8 @@
 
     let mut asked = 0;
     for millis in (13_250..15_500).step_by(50) {
-        let word = word(millis + 100, State::Ready, Load::default());
-        let mut actions = balancer.handle(at(millis), Event::Announced(host(1), word));
+        let announcement = word(millis + 100, State::Ready, Load::default());
+        let mut actions = balancer.handle(at(millis), Event::Announced(host(1), announcement));
         actions.extend(balancer.handle(at(millis), Event::Tick));
         let asks = |action: &&Action| matches!(action, Action::Send(_, Message::Locate { .. }));
         asked += actions.iter().filter(asks).count();
@@ -372,8 +374,8 @@
     assert_eq!(asked, 0);
 }
 
-/// A client of a lost flow waits a whole second more, for the next search: one agent of all was not
-/// sure when it was asked, and is a few ticks later.
+/// Guards against a client of a lost flow that waits a second for the next search, because one
+/// agent could not decide when it was asked but can a few ticks later.
 #[test]
 fn an_agent_that_did_not_answer_is_asked_again_soon() {
     let mut balancer = balancer(&[1]);
@@ -384,16 +386,17 @@
     announce(&mut balancer, &[1], 3_200, 3_200);
     let asked = balancer.handle(at(3_301), Event::Tick);
     let absent = Event::Absent { from: host(1), flow: flow(1), load: Load::default() };
-    let told = balancer.handle(at(3_303), absent);
+    let answered = balancer.handle(at(3_303), absent);
 
     assert!(asked.contains(&Action::Send(host(1), Message::Locate { flow: flow(1) })), "{asked:?}");
-    assert!(told.contains(&Action::Reset { flow: flow(1), seq: 500 }), "{told:?}");
+    assert!(answered.contains(&Action::Reset { flow: flow(1), seq: 500 }), "{answered:?}");
 }
 
-/// Status checks hang for 200 to 600 ms after a restart: the balancer had no configuration for a few
-/// milliseconds, dropped what came, and clients send their copies ever more rarely.
+/// Guards against requests that wait for 200 to 600 ms after a restart. The balancer lacks a
+/// configuration for a few milliseconds only, and clients send copies of dropped packets at growing
+/// intervals.
 #[test]
-fn a_packet_that_came_before_the_configuration_is_handled_with_it() {
+fn a_packet_is_kept_until_the_configuration_arrives() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     announce(&mut balancer, &[1], 0, 0);
     let head = opening(flow(1), 0);
@@ -401,16 +404,16 @@
     let first = balancer.handle(at(10), Event::Client(head));
     balancer.handle(at(20), Event::Ordered(Orders::default()));
     let configured = balancer.handle(at(20), Event::Configured(table(1, &[(PORT, desk())])));
-    let again = balancer.handle(at(20), Event::Again(head));
+    let again = balancer.handle(at(20), Event::Recalled(head));
 
     assert!(first.contains(&Action::Keep(head)), "{first:?}");
     assert!(configured.contains(&Action::Recall), "{configured:?}");
     assert_eq!(forwarded(&again), Some(host(1)));
 }
 
-/// A kept packet must not be forgotten: when nothing changes any more, its client still gets an answer.
+/// Guards against a kept packet that is never answered because nothing changes any more.
 #[test]
-fn a_kept_opening_is_answered_in_the_end() {
+fn a_kept_opening_is_eventually_answered() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     balancer.handle(at(0), Event::Ordered(Orders::default()));
     balancer.handle(at(0), Event::Configured(table(1, &[(PORT, desk())])));
@@ -418,15 +421,15 @@
     let kept = balancer.handle(at(10), Event::Client(head));
 
     let recalled = balancer.handle(at(1_200), Event::Tick);
-    let answered = balancer.handle(at(1_200), Event::Again(head));
+    let answered = balancer.handle(at(1_200), Event::Recalled(head));
 
     assert!(kept.contains(&Action::Keep(head)), "{kept:?}");
     assert!(recalled.contains(&Action::Recall), "{recalled:?}");
     assert!(resets(&answered), "{answered:?}");
 }
 
-/// Hosts come back one after the other after a loss of power, and all clients at once. Openings were held
-/// until all hosts were back, went to agents in one moment, and nobody among them was answered in time.
+/// Guards against openings that are held after a power loss until all hosts are back: they reach
+/// the agents together, and none is answered in time.
 #[test]
 fn openings_are_placed_at_once_while_servers_come_back() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
@@ -449,30 +452,30 @@
     assert!(next.iter().all(|agent| *agent == Some(host(2))), "{next:?}");
 }
 
-/// Servers idle for 300 ms after a mass restart: balancers behind slow links wait for a large
-/// configuration, while others have it and could place their packets.
+/// Guards against servers that idle for 300 ms after a mass restart, because balancers with slow
+/// links wait for a large configuration that others have.
 #[test]
-fn a_balancer_without_a_configuration_hands_packets_to_one_that_has_it() {
+fn a_balancer_without_a_configuration_relays_packets_to_one_that_has_it() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     let head = opening(flow(1), 0);
-    let roster = |version| roster(version, &[], 3);
-    balancer.handle(at(1), Event::Roster(host(8), roster(0)));
+    let gossip = |version| roster(version, &[], 3);
+    balancer.handle(at(1), Event::Gossip(host(8), gossip(0)));
 
     let alone = balancer.handle(at(10), Event::Client(head));
-    let heard = balancer.handle(at(20), Event::Roster(host(9), roster(4)));
-    let relayed = balancer.handle(at(20), Event::Again(head));
+    let configured = balancer.handle(at(20), Event::Gossip(host(9), gossip(4)));
+    let relayed = balancer.handle(at(20), Event::Recalled(head));
 
     assert!(alone.contains(&Action::Keep(head)), "{alone:?}");
-    assert!(heard.contains(&Action::Recall), "{heard:?}");
+    assert!(configured.contains(&Action::Recall), "{configured:?}");
     assert!(relayed.contains(&Action::Forward(host(9), Message::Relay)), "{relayed:?}");
 }
 
-/// Two balancers without a configuration hand one packet to and fro for ever.
+/// Guards against two balancers without a configuration that relay a packet to each other forever.
 #[test]
-fn a_packet_is_handed_over_once() {
+fn a_packet_is_relayed_once() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
-    let roster = roster(4, &[], 3);
-    balancer.handle(at(1), Event::Roster(host(9), roster));
+    let gossip = roster(4, &[], 3);
+    balancer.handle(at(1), Event::Gossip(host(9), gossip));
     let head = opening(flow(1), 0);
 
     let actions = balancer.handle(at(10), Event::Relayed(head));
@@ -481,8 +484,9 @@
     assert!(actions.contains(&Action::Keep(head)), "{actions:?}");
 }
 
-/// Feeds hang for two seconds although their servers live: the whole fleet was killed while the store was
-/// away, balancers had no configuration, and kept every packet until one came.
+/// Guards against open flows that hang for two seconds although their servers are alive. The whole
+/// fleet restarted while the store was unreachable, and balancers kept every packet until a
+/// configuration arrived.
 #[test]
 fn a_packet_of_an_open_flow_needs_no_configuration() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
@@ -491,7 +495,7 @@
     balancer.handle(at(20), Event::Announced(host(1), word(1, State::Ready, Load::default())));
 
     let recalled = balancer.handle(at(60), Event::Tick);
-    let asked = balancer.handle(at(60), Event::Again(head));
+    let asked = balancer.handle(at(60), Event::Recalled(head));
     let load = Load::default();
     balancer.handle(at(62), Event::Holds { from: host(1), flow: flow(1), load });
     let carried = balancer.handle(at(70), Event::Client(head));
@@ -508,10 +512,10 @@
     );
 }
 
-/// A feed breaks off with a reset while its server serves: a balancer that had just started, without a
-/// configuration, took the word of the agents that it knew for that of all.
+/// Guards against a reset of a flow whose server is alive, by a balancer that has just started
+/// without a configuration and does not know all agents yet.
 #[test]
-fn a_balancer_without_a_configuration_resets_nothing_that_it_does_not_find() {
+fn a_balancer_without_a_configuration_resets_no_flow() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     announce(&mut balancer, &[1, 2], 0, 3_000);
     let head = data(flow(1), 1_001, 501);
@@ -525,7 +529,7 @@
     assert!(exhausted.contains(&Action::Keep(head)), "{exhausted:?}");
 }
 
-/// Switched off, packets of open flows wait for a configuration like openings.
+/// Without the mechanism, packets of open flows wait for a configuration like openings.
 #[test]
 fn without_the_mechanism_packets_wait_for_a_configuration() {
     let policy = Policy::without([Mechanism::Unrouted]);
--- a/crates/nutmegkeel_core/tests/l4/delegate.rs
+++ b/crates/nutmegkeel_core/tests/l4/delegate.rs
@@ -1,4 +1,4 @@
-//! Which balancers act for their failure domain towards the store, and how lists of flows reach it.
+//! Balancers that act for their failure domain towards the store, and how lists of flows are saved.
 
 use std::net::Ipv4Addr;
 
@@ -6,39 +6,43 @@
 use nutmegkeel_core::l4::balancer::{Action, Balancer, Event};
 use nutmegkeel_core::l4::checkpoint::Checkpoint;
 use nutmegkeel_core::l4::handover::{Handover, Step};
-use nutmegkeel_core::l4::message::{Load, Message, Reason, Roster};
+use nutmegkeel_core::l4::message::{Gossip, Load, Message, Reason};
+use nutmegkeel_core::l4::peer_state::{DELEGATES, States, VALID_MS, pause_after_change_ms};
 use nutmegkeel_core::l4::policy::Policy;
-use nutmegkeel_core::l4::word::{COUNTED_MS, DELEGATES, Words, pause_after_change_ms};
 
 use crate::fixture::{
     self, BALANCER, DOMAIN, PORT, agent, ask, at, data, demand, desk, flow, heartbeat, host,
     identity, open, resets, roster, table,
 };
 
-/// Pause between two ticks of the balancers here, in milliseconds.
+/// Pause between two ticks of the balancers, in milliseconds.
 const TICK_MS: usize = 500;
 
-/// Agents of a failure domain in which lists are gathered.
+/// Number of agents of a failure domain in which lists are collected.
 const MANY: u64 = 20;
 
 fn balancer(number: u8) -> Balancer {
     Balancer::open(at(0), identity(host(number), Policy::default()), &[])
 }
 
-/// Balancers 1 to `count` of one failure domain that have all heard of each other.
+/// Balancers 1 to `count` of one failure domain that have all received each other's state.
 fn domain(count: u8) -> Vec<Balancer> {
     let mut balancers: Vec<_> = (1..=count).map(balancer).collect();
-    gossip(&mut balancers, 0..=0, &[]);
+    exchange_gossip(&mut balancers, 0..=0, &[]);
     balancers
 }
 
-/// Lets each balancer speak to all others in each of these milliseconds, but for those that are silent.
-fn gossip(balancers: &mut [Balancer], times: std::ops::RangeInclusive<u64>, silent: &[u8]) {
+/// Delivers the state of each balancer, except silent ones, to all others at each of these times.
+fn exchange_gossip(
+    balancers: &mut [Balancer],
+    times: std::ops::RangeInclusive<u64>,
+    silent: &[u8],
+) {
     for millis in times.step_by(TICK_MS) {
-        for speaker in numbers(balancers).filter(|speaker| !silent.contains(speaker)) {
-            for listener in numbers(balancers).filter(|listener| *listener != speaker) {
-                let word = Event::Roster(host(speaker), roster(1, &[], 3));
-                balancers[usize::from(listener) - 1].handle(at(millis), word);
+        for sender in numbers(balancers).filter(|sender| !silent.contains(sender)) {
+            for receiver in numbers(balancers).filter(|receiver| *receiver != sender) {
+                let gossip = Event::Gossip(host(sender), roster(1, &[], 3));
+                balancers[usize::from(receiver) - 1].handle(at(millis), gossip);
             }
         }
     }
@@ -62,50 +66,50 @@
 }
 
 #[test]
-fn a_balancer_that_hears_of_nobody_watches() {
+fn a_balancer_without_peers_watches() {
     let balancer = balancer(1);
 
     assert!(balancer.watches(at(0)));
 }
 
-/// A change of the configuration is not seen for good: both balancers that watched died, and the others
-/// go on waiting for their word.
+/// Guards against changes of the configuration that are never seen, because both watching balancers
+/// died and the others keep waiting for their messages.
 #[test]
-fn others_watch_when_both_watchers_fall_silent() {
+fn others_watch_when_both_watchers_become_silent() {
     let mut balancers = domain(12);
     let dead = watchers(&balancers, 10);
 
-    gossip(&mut balancers, 500..=4_000, &dead);
+    exchange_gossip(&mut balancers, 500..=4_000, &dead);
     let later = watchers(&balancers, 4_010);
 
     let alive: Vec<_> = later.iter().filter(|number| !dead.contains(number)).collect();
     assert_eq!(alive.len(), DELEGATES, "{dead:?} {later:?}");
 }
 
-/// Lets balancers speak by themselves, so that words reach whom they are sent to; those of `dead` say nothing.
-fn speak(balancers: &mut [Balancer], times: std::ops::RangeInclusive<u64>, dead: &[u8]) {
+/// Lets balancers send by themselves and delivers their states. Those of `dead` send nothing.
+fn run(balancers: &mut [Balancer], times: std::ops::RangeInclusive<u64>, dead: &[u8]) {
     for millis in times.step_by(TICK_MS) {
-        for speaker in numbers(balancers).filter(|speaker| !dead.contains(speaker)) {
-            let sent = balancers[usize::from(speaker) - 1].handle(at(millis), Event::Tick);
-            for (to, word) in rosters(&sent) {
-                let listener = numbers(balancers).find(|number| host(*number) == to);
-                let listener = listener.expect("a balancer is spoken to");
-                balancers[usize::from(listener) - 1]
-                    .handle(at(millis), Event::Roster(host(speaker), word));
+        for sender in numbers(balancers).filter(|sender| !dead.contains(sender)) {
+            let sent = balancers[usize::from(sender) - 1].handle(at(millis), Event::Tick);
+            for (to, gossip) in gossip_messages(&sent) {
+                let receiver = numbers(balancers).find(|number| host(*number) == to);
+                let receiver = receiver.expect("the receiver is a balancer");
+                balancers[usize::from(receiver) - 1]
+                    .handle(at(millis), Event::Gossip(host(sender), gossip));
             }
         }
     }
 }
 
-/// Guards against a failure domain of sixty balancers that nobody watches for: each hears each other one only
-/// every four seconds, and both delegates have died.
+/// Guards against a failure domain of sixty balancers that none watches for: both delegates have
+/// died, and each balancer receives the state of each other one only every four seconds.
 #[test]
 fn a_large_failure_domain_replaces_dead_delegates_within_three_seconds() {
     let mut balancers = domain(60);
-    speak(&mut balancers, 500..=10_000, &[]);
+    run(&mut balancers, 500..=10_000, &[]);
     let dead = watchers(&balancers, 10_010);
 
-    speak(&mut balancers, 10_500..=13_000, &dead);
+    run(&mut balancers, 10_500..=13_000, &dead);
 
     let later = watchers(&balancers, 13_010);
     let alive: Vec<_> = later.iter().filter(|number| !dead.contains(number)).collect();
@@ -113,69 +117,71 @@
     assert_eq!(alive.len(), DELEGATES, "{dead:?} {later:?}");
 }
 
-/// The store turns just the two hosts away that watch for their failure domain. They say so, and others
-/// take over with their next look.
+/// The store is unreachable for just the two watching hosts of a failure domain. They report it,
+/// and others take over when they next check.
 #[test]
-fn others_watch_when_the_store_turns_the_watchers_away() {
+fn others_watch_when_the_store_is_unreachable_for_the_watchers() {
     let mut balancers = domain(12);
-    let refused = watchers(&balancers, 10);
-    for number in &refused {
-        let sent = balancers[usize::from(*number) - 1].handle(at(20), Event::Store(false));
-        for (to, word) in rosters(&sent) {
+    let cut_off = watchers(&balancers, 10);
+    for number in &cut_off {
+        let sent = balancers[usize::from(*number) - 1].handle(at(20), Event::StoreAnswered(false));
+        for (to, gossip) in gossip_messages(&sent) {
             let index = (1..=12).position(|other| host(other) == to).expect("a balancer");
-            balancers[index].handle(at(21), Event::Roster(host(*number), word));
+            balancers[index].handle(at(21), Event::Gossip(host(*number), gossip));
         }
     }
 
     let later = watchers(&balancers, 30);
 
     assert_eq!(later.len(), DELEGATES);
-    assert!(later.iter().all(|number| !refused.contains(number)), "{refused:?} {later:?}");
+    assert!(later.iter().all(|number| !cut_off.contains(number)), "{cut_off:?} {later:?}");
 }
 
-/// While the store is away for all, two of each failure domain go on asking, not all.
+/// While the store is unreachable for all, two balancers of each failure domain go on calling it,
+/// not all.
 #[test]
-fn two_go_on_asking_while_the_store_answers_nobody() {
-    let mut words = Words::default();
+fn two_delegates_remain_while_the_store_is_unreachable_for_all() {
+    let mut states = States::default();
     for number in 1..=12 {
-        let word = Roster { reaches_store: false, ..roster(0, &[], 0) };
-        words.hear(at(0), host(number), &word);
+        let gossip = Gossip { reaches_store: false, ..roster(0, &[], 0) };
+        states.apply(at(0), host(number), &gossip);
     }
 
-    let delegates = words.delegates(at(1), DOMAIN, Some((BALANCER, false)), COUNTED_MS);
+    let delegates = states.delegates(at(1), DOMAIN, Some((BALANCER, false)), VALID_MS);
 
     assert_eq!(delegates.len(), DELEGATES);
 }
 
 #[test]
 fn balancers_of_other_failure_domains_are_no_delegates() {
-    let mut words = Words::default();
-    words.hear(at(0), host(1), &Roster { domain: "tema".into(), ..roster(1, &[], 0) });
+    let mut states = States::default();
+    states.apply(at(0), host(1), &Gossip { domain: "tema".into(), ..roster(1, &[], 0) });
 
-    let delegates = words.delegates(at(1), DOMAIN, None, COUNTED_MS);
+    let delegates = states.delegates(at(1), DOMAIN, None, VALID_MS);
 
     assert_eq!(delegates, Vec::<Ipv4Addr>::new());
 }
 
-/// A new configuration reaches those who do not watch with the next datagram, not with the next round.
+/// Balancers that do not watch learn of a new configuration with the next datagram, not with the
+/// next round of gossip.
 #[test]
-fn a_new_configuration_is_told_to_the_whole_failure_domain_at_once() {
+fn a_new_configuration_is_sent_to_the_whole_failure_domain_at_once() {
     let mut balancers = domain(12);
     balancers[0].handle(at(10), Event::Configured(table(2, &[(PORT, desk())])));
 
-    let told = balancers[0].handle(at(20), Event::Configured(table(3, &[(PORT, desk())])));
+    let sent = balancers[0].handle(at(20), Event::Configured(table(3, &[(PORT, desk())])));
 
-    assert_eq!(rosters(&told).iter().filter(|(_, word)| word.version == 3).count(), 11);
+    assert_eq!(gossip_messages(&sent).iter().filter(|(_, gossip)| gossip.version == 3).count(), 11);
 }
 
-/// Clients of lost flows wait for seconds after a server was taken away: a balancer of another failure domain,
-/// which speaks only each few seconds, had said that it hears of one agent more.
+/// Guards against clients of lost flows that wait for seconds after a server was removed. A
+/// balancer of another failure domain sends only every few seconds and had reported one agent more.
 #[test]
-fn an_old_count_of_agents_does_not_delay_resets() {
+fn an_outdated_count_of_agents_does_not_delay_resets() {
     let mut balancer = fixture::balancer(&[1, 2]);
     for now in (0..=3_000).step_by(500) {
         for number in 40..=80 {
-            balancer.handle(at(now), Event::Roster(host(number), roster(1, &[], 3)));
+            balancer.handle(at(now), Event::Gossip(host(number), roster(1, &[], 3)));
         }
         balancer.handle(at(now), Event::Tick);
     }
@@ -191,30 +197,33 @@
     assert!(resets(&actions), "{actions:?}");
 }
 
-/// Answers with all addresses go to and fro for seconds after a balancer has died, because one side has
-/// not dropped it yet: one answer for each view is enough, and another when the first may have been lost.
+/// Guards against balancers that exchange address lists for seconds after a balancer died, because
+/// one side has not removed it yet. One list per view is enough, and another in case it was lost.
 #[test]
-fn views_that_differ_are_told_rarely() {
+fn differing_views_are_answered_rarely() {
     let mut balancer = balancer(1);
-    let differs = Roster { digest: 7, ..roster(1, &[], 3) };
+    let differs = Gossip { digest: 7, ..roster(1, &[], 3) };
 
-    let tellings: Vec<usize> = [0, 100, 500, 1_000, 4_100]
+    let lists: Vec<usize> = [0, 100, 500, 1_000, 4_100]
         .into_iter()
-        .map(|now| balancer.handle(at(now), Event::Roster(host(2), differs.clone())))
+        .map(|now| balancer.handle(at(now), Event::Gossip(host(2), differs.clone())))
         .map(|actions| {
-            rosters(&actions).iter().filter(|(_, word)| !word.balancers.is_empty()).count()
+            gossip_messages(&actions)
+                .iter()
+                .filter(|(_, gossip)| !gossip.balancers.is_empty())
+                .count()
         })
         .collect();
 
-    assert_eq!(tellings, vec![1, 0, 0, 0, 1]);
+    assert_eq!(lists, vec![1, 0, 0, 0, 1]);
 }
 
-fn rosters(actions: &[Action]) -> Vec<(Ipv4Addr, Roster)> {
-    let roster = |action: &Action| match action {
-        Action::Send(to, Message::Roster(word)) => Some((*to, word.clone())),
+fn gossip_messages(actions: &[Action]) -> Vec<(Ipv4Addr, Gossip)> {
+    let gossip = |action: &Action| match action {
+        Action::Send(to, Message::Gossip(gossip)) => Some((*to, gossip.clone())),
         _ => None,
     };
-    actions.iter().filter_map(roster).collect()
+    actions.iter().filter_map(gossip).collect()
 }
 
 fn list(number: u64) -> Checkpoint {
@@ -222,24 +231,24 @@
 }
 
 #[test]
-fn lists_are_gathered_for_one_write() {
+fn lists_are_collected_for_one_write() {
     let mut balancer = balancer(1);
     for agent in 1..=9 {
-        balancer.handle(at(u64::from(agent) * 50), Event::Deposited(host(agent), list(1)));
+        balancer.handle(at(u64::from(agent) * 50), Event::SaveFlows(host(agent), list(1)));
     }
 
     let early = balancer.handle(at(900), Event::Tick);
-    let ripe = balancer.handle(at(1_100), Event::Tick);
+    let due = balancer.handle(at(1_100), Event::Tick);
 
     assert_eq!(committed(&early), None);
-    assert_eq!(committed(&ripe).map(|lists| lists.len()), Some(9));
+    assert_eq!(committed(&due).map(|lists| lists.len()), Some(9));
 }
 
 #[test]
 fn a_full_transaction_does_not_wait() {
     let mut balancer = balancer(1);
     for agent in 1..=16 {
-        balancer.handle(at(10), Event::Deposited(host(agent), list(1)));
+        balancer.handle(at(10), Event::SaveFlows(host(agent), list(1)));
     }
 
     let actions = balancer.handle(at(70), Event::Tick);
@@ -247,12 +256,12 @@
     assert_eq!(committed(&actions).map(|lists| lists.len()), Some(16));
 }
 
-/// An older list came late, by a way that was held up, and must not be written in the newer one's place.
+/// Guards against an older list that arrives late and is saved in place of a newer one.
 #[test]
 fn a_newer_list_that_waits_is_kept() {
     let mut balancer = balancer(1);
-    balancer.handle(at(0), Event::Deposited(host(1), list(5)));
-    balancer.handle(at(10), Event::Deposited(host(1), list(4)));
+    balancer.handle(at(0), Event::SaveFlows(host(1), list(5)));
+    balancer.handle(at(10), Event::SaveFlows(host(1), list(4)));
 
     let actions = balancer.handle(at(1_100), Event::Tick);
 
@@ -260,12 +269,12 @@
 }
 
 #[test]
-fn agents_hear_which_lists_are_written() {
+fn agents_are_notified_of_saved_lists() {
     let mut balancer = balancer(1);
 
     let actions = balancer.handle(at(10), Event::Committed(vec![(host(1), 5)]));
 
-    assert!(actions.contains(&Action::Send(host(1), Message::Written { number: 5 })));
+    assert!(actions.contains(&Action::Send(host(1), Message::FlowsSaved { number: 5 })));
 }
 
 fn committed(actions: &[Action]) -> Option<Vec<(Ipv4Addr, Checkpoint)>> {
@@ -275,10 +284,10 @@
     })
 }
 
-/// A list is lost because the balancer that had it died before it wrote. The agent turns to the second,
-/// and when that is silent too writes by itself.
+/// Guards against a list that is lost because a balancer dies before it saves it. The agent sends
+/// it to the second delegate, and saves it itself if that is silent too.
 #[test]
-fn a_list_finds_its_way_past_silent_balancers() {
+fn a_list_is_saved_when_balancers_are_silent() {
     let mut handover = Handover::default();
     let delegates = [host(1), host(2)];
     handover.begin(list(1));
@@ -307,7 +316,8 @@
     assert_eq!(handover.step(at(9_000), &[host(1)], true, MANY), None);
 }
 
-/// Lists of busy servers never reach the store: they do not fit into a datagram, and no balancer answers.
+/// Guards against lists of busy servers that are never saved: they do not fit into a datagram, so
+/// no balancer answers.
 #[test]
 fn a_list_too_long_for_a_datagram_is_written_at_once() {
     let flows = (0..=80).map(|port| (flow(port), 1)).collect();
@@ -320,24 +330,25 @@
     assert_eq!(step, Some(Step::Write(list)));
 }
 
-/// While the store is away every agent would go on trying by itself, and each try is priced.
+/// Guards against billed calls of every agent that retries by itself while the store is
+/// unreachable.
 #[test]
-fn a_list_waits_while_the_store_answers_no_balancer() {
+fn a_list_waits_while_the_store_is_unreachable() {
     let mut handover = Handover::default();
     handover.begin(list(1));
     handover.step(at(0), &[host(1)], true, MANY);
 
-    let away = handover.step(at(3_000), &[host(1)], false, MANY);
-    let back = handover.step(at(3_100), &[host(1)], true, MANY);
+    let while_unreachable = handover.step(at(3_000), &[host(1)], false, MANY);
+    let when_reachable = handover.step(at(3_100), &[host(1)], true, MANY);
 
-    assert_eq!(away, None);
-    assert_eq!(back, Some(Step::Deposit(host(1), list(1))));
+    assert_eq!(while_unreachable, None);
+    assert_eq!(when_reachable, Some(Step::Deposit(host(1), list(1))));
 }
 
-/// Lists of a host whose time of day was set back are never written: those of its predecessor have higher
-/// numbers.
+/// Guards against lists that are never saved after the host's clock was set back, because the lists
+/// of the previous process have higher numbers.
 #[test]
-fn a_list_gets_a_number_behind_the_one_that_is_there() {
+fn a_list_gets_a_higher_number_than_the_saved_one() {
     let mut handover = Handover::default();
     handover.begin(list(3));
     handover.step(at(0), &[host(1)], true, MANY);
@@ -350,9 +361,10 @@
     );
 }
 
-/// An agent that knows a balancer of its failure domain hands its list to it and makes no call of its own.
+/// An agent that knows a balancer of its failure domain sends its list to it and makes no store
+/// call of its own.
 #[test]
-fn an_agent_hands_its_list_to_a_balancer() {
+fn an_agent_sends_its_list_to_a_balancer() {
     let mut agent = agent();
     agent.handle(at(0), agent::Event::Recovered(None));
     agent.handle(at(1), agent::Event::Heartbeat(heartbeat("a", 1)));
@@ -362,15 +374,16 @@
 
     let actions = agent.handle(at(3_100), agent::Event::Tick);
 
-    let deposits = |action: &&agent::Action| matches!(action, agent::Action::Send(BALANCER, Message::Deposit(list)) if list.flows.len() == 1);
-    assert_eq!(actions.iter().filter(deposits).count(), 1, "{actions:?}");
+    let is_save_request = |action: &&agent::Action| matches!(action, agent::Action::Send(BALANCER, Message::SaveFlows(list)) if list.flows.len() == 1);
+    assert_eq!(actions.iter().filter(is_save_request).count(), 1, "{actions:?}");
     assert!(!actions.iter().any(|action| matches!(action, agent::Action::Save(_))));
 }
 
-/// Clients of a small deployment wait in silence after a loss of power: their lists had been on the way to
-/// a balancer that was killed, which would have written each of them alone anyway.
+/// Guards against clients of a small deployment that get no answer after a power loss: their lists
+/// had been sent to a balancer that was killed, and that would have saved each of them alone
+/// anyway.
 #[test]
-fn lists_of_few_agents_are_written_by_themselves() {
+fn lists_of_few_agents_are_written_separately() {
     let delegates = [host(1), host(2)];
     let first = |agents| {
         let mut handover = Handover::default();
@@ -384,26 +397,27 @@
 }
 
 #[test]
-fn a_list_of_few_agents_waits_while_the_store_answers_nobody() {
+fn a_list_of_few_agents_waits_while_the_store_is_unreachable() {
     let mut handover = Handover::default();
     handover.begin(list(1));
 
-    let away = handover.step(at(0), &[host(1)], false, 3);
-    let back = handover.step(at(500), &[host(1)], true, 3);
+    let while_unreachable = handover.step(at(0), &[host(1)], false, 3);
+    let when_reachable = handover.step(at(500), &[host(1)], true, 3);
 
-    assert_eq!(away, None);
-    assert_eq!(back, Some(Step::Write(list(1))));
+    assert_eq!(while_unreachable, None);
+    assert_eq!(when_reachable, Some(Step::Write(list(1))));
 }
 
-/// An agent knows how many agents its failure domain has by what balancers of all domains say.
+/// An agent determines the number of agents in its failure domain from the states of balancers of
+/// all domains.
 #[test]
 fn an_agent_of_a_small_domain_writes_its_list() {
     let mut agent = agent();
     agent.handle(at(0), agent::Event::Recovered(None));
     agent.handle(at(1), agent::Event::Heartbeat(heartbeat("a", 1)));
     agent.handle(at(3_000), agent::Event::Roster(BALANCER, roster(1, &[], 10)));
-    let far = Roster { domain: "tema".into(), ..roster(1, &[], 10) };
-    agent.handle(at(3_000), agent::Event::Roster(host(9), far));
+    let remote = Gossip { domain: "tema".into(), ..roster(1, &[], 10) };
+    agent.handle(at(3_000), agent::Event::Roster(host(9), remote));
     open(&mut agent, 3_000, flow(1), demand(false));
     ask(&mut agent, 3_002, flow(1), 1_001);
 
@@ -413,10 +427,10 @@
     assert!(actions.iter().any(saves), "{actions:?}");
 }
 
-/// A second change within a moment is in force half a second later in a whole failure domain: both
-/// delegates heard of the first one together and paused for as long.
+/// Guards against a second change that takes effect half a second late in a whole failure domain,
+/// because both delegates received the first one together and paused for the same time.
 #[test]
-fn two_delegates_that_heard_together_watch_again_in_turns() {
+fn delegates_that_receive_a_change_together_watch_in_turns() {
     let waited_ms = 5_000;
     let (mut first, mut second) = (Vec::new(), Vec::new());
     let watches = |rank, times: &mut Vec<u64>| {
@@ -435,5 +449,5 @@
     all.sort_unstable();
     let longest = all.windows(2).map(|pair| pair[1] - pair[0]).max();
     assert_eq!(longest, Some(200), "{all:?}");
-    assert!(calls <= 20, "no more calls than 2.5 a second each: {calls}");
+    assert!(calls <= 20, "at most 2.5 calls per second each: {calls}");
 }
