--- a/crates/nutmegkeel_core/src/l4/agent.rs
+++ b/crates/nutmegkeel_core/src/l4/agent.rs
@@ -1,8 +1,8 @@
 //! Decisions of an agent for flows without a routing token.
 //!
-//! The agent sees every packet to and from its backend server. It knows which flows the server
-//! holds, and after its own restart lets the server say so: a packet of a flow that the server does
-//! not hold comes back.
+//! The agent sees every packet to and from its backend server, so it knows which flows the server
+//! holds. After its own restart it learns this from the server: the server returns a packet of a
+//! flow that it does not hold.
 
 mod answer;
 mod balancers;
@@ -49,27 +49,27 @@
 
 pub use event::{Action, Event};
 
-/// Pause between two ticks, in milliseconds.
+/// Interval between two ticks, in milliseconds.
 pub const TICK_MS: u64 = 100;
 
-/// What the agent tells of itself, fixed at start.
+/// Properties of the agent that are fixed at start.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its address.
+    /// Address of the agent.
     pub address: Ipv4Addr,
-    /// When the process started, Unix milliseconds.
+    /// When the process started, in Unix milliseconds.
     pub incarnation: u64,
-    /// Failure domain.
+    /// Failure domain of the host.
     pub domain: Arc<str>,
-    /// Pause between two heartbeats of the backend server, in milliseconds.
+    /// Interval between two heartbeats of the backend server, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Lists of flows that all agents together may write to the store in a second.
+    /// Number of checkpoints that all agents together may write to the store per second.
     pub checkpoints_per_s: u64,
-    /// The mechanisms that it uses.
+    /// The mechanisms in use.
     pub policy: Policy,
 }
 
-/// The agent.
+/// State of an agent.
 #[derive(Debug)]
 pub struct Agent {
     identity: Identity,
@@ -78,16 +78,16 @@
     balancers: Book,
     /// Balancers that changed since the last tick.
     balancers_changed: Turnover,
-    /// Balancers that have spoken to this process, and so know it.
+    /// Balancers that have sent a message to this process, and so know it.
     acquainted: BTreeSet<Ipv4Addr>,
     table: Table,
     probes: Probes,
     waiting: Queue,
-    /// What callers received lately, where they compete for room.
+    /// Service that callers received recently, if they compete for room.
     shares: Shares,
     refused: Refused,
     pace: Pace,
-    /// How long a slot works on a request.
+    /// Measures how long a slot works on a request.
     meter: Meter,
     /// Whether the server was cold at the last tick.
     was_cold: bool,
@@ -98,25 +98,25 @@
     leaving: bool,
     keeper: Keeper,
     handover: Handover,
-    /// What balancers last said of themselves.
+    /// Last reported state of each balancer.
     words: Words,
-    /// Agents that a balancer last said it hears of.
+    /// Number of agents that a balancer last reported.
     fleet: u64,
-    /// Whether the own failure domain is evacuated.
+    /// What is known of the evacuation of the own failure domain.
     evacuation: Standing,
     replica: Replica,
-    /// When the own failure domain was last taken back.
+    /// When the evacuation of the own failure domain last ended.
     taken_back: Option<Time>,
-    /// What the server was given lately.
+    /// Limits the openings that a cold server gets.
     budget: Budget,
-    /// Whether a packet to the server got no answer while nothing was heard of a server.
+    /// Whether a packet to the server got no answer while no server was known.
     deserted: bool,
     number: u64,
     announced: Time,
 }
 
 impl Agent {
-    /// An agent that knows nothing yet but its seeds.
+    /// Creates an agent that knows nothing but its seeds.
     #[must_use]
     pub fn open(now: Time, identity: Identity, seeds: &[Ipv4Addr]) -> Self {
         let mut balancers = Book::default();
@@ -159,20 +159,20 @@
         }
     }
 
-    /// Its load now.
+    /// Returns the current load.
     #[must_use]
     pub fn load(&self) -> Load {
         let load = self.table.load();
         let counted = |count: usize| u16::try_from(count).unwrap_or(u16::MAX);
         let waiting = counted(self.waiting.len());
-        // After a restart most requests come on flows that this process does not know yet. Uncounted, they
-        // fill the server while balancers take it for free.
+        // After a restart most requests arrive on flows that this process does not know yet. Not
+        // counted, they fill the server while balancers consider it free.
         let unknown = if self.uses(Mechanism::DomainBalance) { self.probes.requests() } else { 0 };
         let busy = load.busy.saturating_add(waiting).saturating_add(counted(unknown));
         Load { busy, service_ms: self.service_ms(), ..load }
     }
 
-    /// Whether it takes new flows.
+    /// Returns the state that is announced to balancers.
     #[must_use]
     pub fn state(&self, now: Time) -> State {
         match self.beside.server() {
@@ -190,24 +190,25 @@
         self.identity.policy.uses(mechanism)
     }
 
-    /// Whether its backend server may be given flows; balancers decide whether one that fails is.
+    /// Returns whether the backend server accepts new flows. For a failing server, the balancers
+    /// decide whether it gets any.
     fn is_open(&self, now: Time) -> bool {
         matches!(self.state(now), State::Ready | State::Failing)
     }
 
-    /// Number of balancers known.
+    /// Returns the number of known balancers.
     #[must_use]
     pub fn balancers(&self) -> usize {
         self.balancers.len()
     }
 
-    /// Whether balancers speak to this process.
+    /// Returns whether a balancer has contacted this process.
     #[must_use]
     pub fn hears_balancers(&self) -> bool {
         !self.acquainted.is_empty()
     }
 
-    /// Takes in an event.
+    /// Handles an event.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         let mut actions = self.take_in(now, event);
         actions.extend(self.release(now));
@@ -268,17 +269,18 @@
         if self.refused.contains(now, head) {
             return reset(flow, head.ack, Cause::Overload).into();
         }
-        // Guards against a server that takes a packet for its own because the two servers' numbers are
-        // near each other: one that accepted a copy of the opening is never asked for the flow.
+        // A server that accepted a copy of the opening is never probed for the flow: if the
+        // sequence numbers of the two servers are close, it would accept the packet as its own.
         if self.table.is_elsewhere(head) || self.is_certain(now) || self.probes.denied(now, &flow) {
             return vec![self.decline(from, Reason::NotHeld)];
         }
         vec![Action::ToServer(self.probes.ask(now, flow, from, head.len > 0))]
     }
 
-    /// Says whether a flow is here, or that only its packet can show it: the backend server may know, or an
-    /// opening is here, which another server may have accepted too. A balancer that took this agent for the
-    /// flow's would reset the flow with its death; one that heard nothing would keep the packet from it.
+    /// Reports whether the flow is here, or that only a packet of it can show this: either the
+    /// backend server has to be probed, or only an opening is here, which another server may have
+    /// accepted too. If the agent claimed such a flow, the balancer would reset the flow when the
+    /// agent dies. If it denied the flow, the balancer would not send it the packet.
     fn locate(&self, now: Time, from: Ipv4Addr, flow: Flow) -> Vec<Action> {
         let load = self.load();
         if self.table.is_open(&flow) {
@@ -343,12 +345,14 @@
         }
     }
 
-    /// Agents of the own failure domain, as far as balancers tell: they count those of all domains.
+    /// Returns the estimated number of agents in the own failure domain; balancers report the total
+    /// of all domains.
     fn agents_at_home(&self, now: Time) -> u64 {
         self.fleet.div_ceil(self.words.domains(now).max(1))
     }
 
-    /// Whether a balancer of this failure domain said lately that the store answers it.
+    /// Returns whether a balancer of the own failure domain recently reported that the store
+    /// answers.
     #[must_use]
     pub fn reaches_store(&self, now: Time) -> bool {
         self.words.of_domain(now, &self.identity.domain).any(|(_, word)| word.reaches_store)
--- a/crates/nutmegkeel_core/src/l4/agent/answer.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/answer.rs
@@ -30,9 +30,10 @@
         actions
     }
 
-    /// Learns from a request: whether the server is to be spared, and its time if it found a slot
-    /// free. The others waited at the server: counted as service time, a short burst would make the
-    /// agent refuse what it could serve in time.
+    /// Applies the outcome of a request: it shows whether the server is failing, and its service
+    /// time if the request found a free slot. Other requests waited at the server. If their wait
+    /// counted as service time, a short burst would make the agent refuse requests that it can
+    /// serve in time.
     fn learn(&mut self, now: Time, outcome: Outcome) -> Vec<Action> {
         let slots = self.beside.server().map_or(0, |server| usize::from(server.slots));
         match outcome {
@@ -57,12 +58,12 @@
         }
     }
 
-    /// Whether a request that was broken off shows a fault of the server, if `behind` were in progress when
-    /// it came.
+    /// Returns whether a broken request shows a fault of the server, given that `behind` requests
+    /// were in progress when it arrived.
     ///
-    /// Guards against a crowd that makes whole services look faulty: a full server turns away what its queue
-    /// does not hold, and would be spared while its peers drown in its share. A faulty one is rid of its
-    /// requests at once, and so never full.
+    /// Guards against an overload that makes whole services look faulty. A full server rejects
+    /// requests that do not fit into its queue; if it were spared, its peers would be overloaded
+    /// with its share. A faulty server finishes its requests at once, and so is never full.
     fn is_fault(&self, behind: usize, slots: usize) -> bool {
         let is_full = self.uses(Mechanism::Room) && behind >= slots;
         self.uses(Mechanism::Outliers) && !is_full
@@ -82,7 +83,8 @@
             actions.push(self.decline(from, Reason::NotHeld));
             return actions;
         }
-        // Only an open flow's packet carries no probe: the server held the flow and has lost it.
+        // Only a packet of an open flow carries no probe number: the server held the flow and has
+        // lost it.
         if let Some(held) = self.table.remove(&head.flow)
             && held.stage == Stage::Open
             && !held.is_over()
@@ -92,9 +94,11 @@
         actions
     }
 
-    /// The server turned an opening away. Guards against forgetting a flow whose first opening it
-    /// took and whose copy it turned away, being full by then: the client would be told that nobody
-    /// holds its open flow.
+    /// Handles an opening that the server rejected.
+    ///
+    /// Guards against forgetting a flow whose opening the server accepted, while it rejected a copy
+    /// of that opening because it was full by then: the client would learn that nobody holds its
+    /// open flow.
     fn turned_away(&mut self, from: Ipv4Addr, head: &Head) -> Option<Action> {
         match self.table.get(&head.flow)?.stage {
             Stage::Opening(None) => {
--- a/crates/nutmegkeel_core/src/l4/agent/balancers.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/balancers.rs
@@ -1,4 +1,4 @@
-//! What the agent tells balancers of itself, and how it learns who they are.
+//! Announcements to balancers, and what the agent learns about balancers.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -11,13 +11,16 @@
 use crate::l4::policy::Mechanism;
 use crate::l4::roster::TELL_NEAR_MS;
 
-/// A balancer of the own failure domain hears this agent if it spoke within this time, in milliseconds: one
-/// of its signs may be lost.
+/// Time within which a balancer of the own failure domain must have sent its state to count as
+/// reached by this agent's announcements, in milliseconds. One message may be lost.
 const NEAR_MS: u64 = 2 * TELL_NEAR_MS + 500;
 
 impl Agent {
-    /// A balancer that leaves still carries packets, so it must go on hearing of this agent: it would
-    /// take the agent for dead and reset its flows. It drops out when nobody speaks of it any more.
+    /// Applies a balancer's state.
+    ///
+    /// A balancer that leaves still forwards packets, so the agent goes on sending announcements to
+    /// it. Otherwise the balancer would consider the agent dead and reset its flows. It is removed
+    /// once no balancer lists it any more.
     pub(super) fn roster(&mut self, now: Time, from: Ipv4Addr, roster: &Roster) -> Vec<Action> {
         self.fleet = u64::from(roster.agents);
         if roster.leaving {
@@ -52,11 +55,12 @@
         actions
     }
 
-    /// Announces this agent to the balancers that have not spoken to it yet.
+    /// Announces this agent to the balancers that have not contacted it yet.
     ///
-    /// Guards against backend servers that idle after a loss of power: a balancer that starts after this
-    /// agent has announced itself hears of it up to four ticks later, and meanwhile all flows go to the
-    /// servers that came back after it. A balancer answers a first announcement at once.
+    /// Guards against backend servers that idle after a power loss. A balancer that starts after
+    /// the agent has announced itself would learn of it up to four ticks later, and in that time
+    /// all flows would go to the servers whose agents started later. A balancer answers a first
+    /// announcement at once.
     pub(super) fn introduce(&mut self, now: Time) -> Vec<Action> {
         let known = &self.acquainted;
         let strangers: Vec<Ipv4Addr> =
@@ -64,26 +68,27 @@
         if strangers.is_empty() { Vec::new() } else { self.announce_to(now, strangers) }
     }
 
-    /// Notes which balancers changed since the last tick.
+    /// Logs which balancers changed since the last tick.
     pub(super) fn note_turnover(&mut self) -> Option<Action> {
         let turnover = self.balancers_changed.take()?;
         Some(Action::Note(Note::Balancers { turnover, known: self.balancers.len() }))
     }
 
-    /// Announces this agent to all balancers, because something changed.
+    /// Announces this agent to all balancers, because its state changed.
     pub(super) fn announce(&mut self, now: Time) -> Vec<Action> {
         self.announced = now;
         self.announce_to(now, self.balancers.iter().collect())
     }
 
-    /// Announces this agent as each 300 ms.
+    /// Sends the announcement that is due every 300 ms.
     pub(super) fn announce_again(&mut self, now: Time) -> Vec<Action> {
         self.announced = now;
         self.announce_to(now, self.audience(now))
     }
 
-    /// The balancers that must hear of this agent from itself: those of its own failure domain, which tell
-    /// the others, and those that have not spoken to it yet. All, while it hears of none of the former.
+    /// Returns the balancers that need the announcement from the agent itself: those of its own
+    /// failure domain, which pass it on to the others, and those that have not contacted it yet.
+    /// Returns all while no balancer of the own failure domain is in contact.
     fn audience(&self, now: Time) -> Vec<Ipv4Addr> {
         let all = self.balancers.iter();
         if !self.uses(Mechanism::Summaries) || !self.is_near_a_balancer(now) {
--- a/crates/nutmegkeel_core/src/l4/agent/contended.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/contended.rs
@@ -1,4 +1,4 @@
-//! How requests wait, go on and are refused where callers compete for room.
+//! Waiting, release and refusal of requests where callers compete for room.
 
 use std::net::Ipv4Addr;
 
@@ -13,16 +13,17 @@
 use crate::l4::waiting::{Capacity, Waiting};
 
 impl Agent {
-    /// Whether the requests of a flow may wait here.
+    /// Returns whether the requests of a flow may wait at the agent.
     ///
-    /// Those that must run once wait only where urgency orders what waits. In the server's own queue
-    /// they would pass by more urgent ones, and be turned away late when it is full. From here they are
-    /// refused by a reset while the server does not hold the flow: then they cannot have run.
+    /// Requests that must run once wait only where they are ordered by urgency. In the server's own
+    /// queue they would overtake more urgent ones, and would be rejected late when it is full. The
+    /// agent refuses them by a reset while the server does not hold the flow, and then they cannot
+    /// have run.
     pub(super) fn may_wait(&self, demand: Demand) -> bool {
         !demand.once || self.uses(Mechanism::Urgency)
     }
 
-    /// Notes that a request comes, on a flow by way of a balancer.
+    /// Records a request that arrives on a flow by way of a balancer.
     pub(super) fn note_asked(&mut self, now: Time, flow: Flow, from: Ipv4Addr) {
         if !self.uses(Mechanism::FairShares) {
             return;
@@ -33,15 +34,15 @@
         self.shares.ask(now, *flow.client.ip(), &word.domain, self.pace.mean_us());
     }
 
-    /// Notes that the server gets a request.
+    /// Records that a request goes to the server.
     pub(super) fn note_received(&mut self, now: Time, flow: Flow) {
         if self.uses(Mechanism::FairShares) {
             self.shares.receive(now, *flow.client.ip(), self.pace.mean_us());
         }
     }
 
-    /// Whether the request of an opening could be served. One that cannot is refused before it costs
-    /// its client a connection and a round trip.
+    /// Returns whether the request of an opening can be served. One that cannot is refused before
+    /// it costs its client a connection and a round trip.
     pub(super) fn bears(&mut self, now: Time, opening: &Opening) -> bool {
         let (flow, since) = (opening.head.flow, opening.since);
         let Offer { demand, returns, .. } = opening.offer;
@@ -50,10 +51,11 @@
         !self.is_saturated() || self.waiting.bears(now, &capacity, &self.shares, &waiting)
     }
 
-    /// What the slots can do now.
+    /// Returns the current capacity of the slots.
     ///
-    /// Guards against taking a full server for as fast as it was when a slot was last free: its clients would be
-    /// let in, and wait until their deadline in vain. The meter shows the time of service also while none is.
+    /// The service time measured by the meter is a lower bound, because the meter also works while
+    /// no slot is free. Guards against a server that became slow while it was full: at its earlier
+    /// speed clients would be admitted and wait in vain until their deadline.
     pub(super) fn capacity(&self) -> Capacity {
         let measured_us = u64::from(self.meter.service_ms()) * 1_000;
         Capacity {
@@ -64,7 +66,8 @@
         }
     }
 
-    /// Gives up what cannot be served, and lets the first in order go on as slots come free.
+    /// Refuses requests that cannot be served, and releases the others in order as slots become
+    /// free.
     pub(super) fn release_in_order(&mut self, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
         let capacity = self.capacity();
@@ -103,15 +106,18 @@
         actions
     }
 
-    /// Puts a request back whose opening no longer keeps a place. Guards against requests that pass by
-    /// all that wait, because their client or the path to it was slow: they would go to the server's own
-    /// queue, more the more is lost under the load.
+    /// Queues a request again whose opening no longer has a place in the queue.
+    ///
+    /// Guards against requests that overtake all waiting ones because their client or its network
+    /// path is slow. They would go to the server's own queue, and the more so the more packets are
+    /// lost under load.
     pub(super) fn wait_again(&mut self, now: Time, head: &Head) -> bool {
         let demand = self.table.demand(&head.flow).filter(|_| self.is_saturated());
         let Some(demand) = demand.filter(|_| self.waiting.is_contended()) else {
             return false;
         };
-        // When the opening came is not known any more; its client waited no longer than this for its answer.
+        // The arrival time of the opening is no longer known. Its client waited for the answer no
+        // longer than this.
         let (flow, since, request) = (head.flow, now.before(OPENING_ENDS_MS), Some(*head));
         let returns = false;
         self.waiting.push(Waiting { flow, since, opened: now, demand, returns, request });
--- a/crates/nutmegkeel_core/src/l4/agent/evacuation.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/evacuation.rs
@@ -1,5 +1,5 @@
-//! Whether an agent's own failure domain is evacuated: the agent is the last to see an opening before
-//! the backend server does.
+//! Evacuation of an agent's own failure domain. The agent is the last process that can refuse an
+//! opening before it reaches the backend server.
 
 use std::net::Ipv4Addr;
 
@@ -14,19 +14,19 @@
 #[derive(Debug, Default)]
 pub(super) struct Standing {
     ledger: Ledger,
-    /// Newest revision of orders by which a balancer sent an opening here: the failure domain was not
-    /// evacuated then.
+    /// Newest revision of orders under which a balancer sent an opening here; under that revision
+    /// the failure domain was not evacuated.
     offered: Revision,
 }
 
 impl Standing {
-    /// Takes in that a balancer chose this agent by the orders of this revision.
+    /// Records that a balancer selected this agent under the orders of this revision.
     fn note_offer(&mut self, revision: Revision) {
         self.offered = self.offered.max(revision);
     }
 
-    /// The orders that forbid an opening, unless a balancer chose this agent by later ones. By those of the
-    /// same revision none can have done so.
+    /// Returns the orders that forbid an opening, unless a balancer selected this agent under later
+    /// ones. Under the same revision no balancer can have done so.
     fn forbidden_by(&self, domain: &str) -> Option<&Orders> {
         let orders = self.ledger.orders()?;
         let is_latest = orders.revision >= self.offered;
@@ -35,7 +35,7 @@
 }
 
 impl Agent {
-    /// Takes in the orders that a balancer told.
+    /// Applies the orders that a balancer sent.
     pub(super) fn ordered(&mut self, now: Time, orders: &Orders) -> Vec<Action> {
         let was_evacuated = self.is_evacuated();
         let before = self.evacuation.ledger.revision();
@@ -57,12 +57,13 @@
         }
     }
 
-    /// The orders that forbid an opening which a balancer offered by those of `revision`.
+    /// Returns the orders that forbid an opening which a balancer offered under those of
+    /// `revision`.
     ///
-    /// Guards against openings from a balancer that has not heard of an evacuation, because it stood
-    /// still or was cut off: the failure domain would go on getting work after everybody else has
-    /// stopped. The later orders decide, so that a domain that was taken back serves with the first
-    /// opening of a balancer that knows it.
+    /// Guards against openings from a balancer that missed an evacuation because it was stalled or
+    /// partitioned: the failure domain would go on receiving work after all other balancers have
+    /// stopped. The later orders decide, so that a domain whose evacuation has ended serves the
+    /// first opening of a balancer that knows this.
     pub(super) fn evacuated_since(&mut self, now: Time, revision: Revision) -> Option<Orders> {
         let was_evacuated = self.is_evacuated();
         self.evacuation.note_offer(revision);
@@ -70,13 +71,13 @@
         self.evacuation.forbidden_by(&self.identity.domain).cloned()
     }
 
-    /// Teaches a balancer the orders that it lacks.
+    /// Sends a balancer the orders that it lacks.
     pub(super) fn teach(&self, balancer: Ipv4Addr, orders: Orders) -> Action {
         Action::Send(balancer, Message::Orders(orders))
     }
 
-    /// Tells the newest orders to a balancer that has heard of none since its start: the store, and the
-    /// other balancers, may be away.
+    /// Sends the newest orders to a balancer that has received none since its start: the store and
+    /// the other balancers may be unreachable.
     pub(super) fn teach_newest(&self, balancer: Ipv4Addr) -> Option<Action> {
         Some(self.teach(balancer, self.evacuation.ledger.orders()?.clone()))
     }
--- a/crates/nutmegkeel_core/src/l4/agent/event.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/event.rs
@@ -1,4 +1,4 @@
-//! What happens to an agent, and what it wants done.
+//! Events that an agent handles, and the actions that it requests.
 
 use std::net::Ipv4Addr;
 
@@ -10,7 +10,7 @@
 use crate::l4::route::Urgency;
 use crate::l4::server::{Heartbeat, Incarnation};
 
-/// What happens to an agent.
+/// An event for an agent.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A balancer sent an opening.
@@ -19,10 +19,10 @@
         from: Ipv4Addr,
         /// The packet.
         head: Head,
-        /// What the balancer says of it.
+        /// The balancer's information about the opening.
         offer: Offer,
     },
-    /// A balancer sent another packet of a client.
+    /// A balancer forwarded another packet of a client.
     Carry {
         /// The balancer.
         from: Ipv4Addr,
@@ -31,46 +31,46 @@
         /// Whether the balancer knows that the flow is here.
         known: bool,
     },
-    /// A balancer asks for a flow.
+    /// A balancer asks whether the flow is here.
     Locate(Ipv4Addr, Flow),
     /// The backend server sent a packet to a client.
     FromServer(Head),
-    /// The backend server handed a client's packet back.
+    /// The backend server returned a client's packet.
     Bounced(Head),
     /// The backend server sent a heartbeat.
     Heartbeat(Heartbeat),
-    /// The backend server said that it ends.
+    /// The backend server deregistered.
     Deregistered(Incarnation),
-    /// A balancer spoke.
+    /// A balancer sent its state.
     Roster(Ipv4Addr, Roster),
-    /// A balancer said that the store has a list of this host's flows with this number.
+    /// A balancer reported that the store has a checkpoint of this host with this number.
     Written(u64),
-    /// The store's list of balancers was read.
+    /// The list of balancers was read from the store.
     Listed(Vec<Ipv4Addr>),
     /// A copy of the configuration of this version was fetched from a balancer.
     Fetched(u64),
-    /// The list of flows that this process's predecessor left was read; none if there is no list.
+    /// The predecessor's checkpoint was read; `None` if there is none.
     Recovered(Option<Checkpoint>),
-    /// The process was told to stop.
+    /// The process received a request to stop.
     Leave,
-    /// Time passed.
+    /// A tick is due.
     Tick,
 }
 
-/// What the shell must do.
+/// An action that the caller must perform. The packet at hand is the one that came with the event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Hand the packet at hand to the backend server, with this number in it.
+    /// Pass the packet at hand to the backend server, with this probe number in it.
     ToServer(u32),
-    /// Keep the packet at hand behind those kept of its flow.
+    /// Keep the packet at hand, after those already kept of its flow.
     Keep(Head),
-    /// Hand the kept packets of this flow to the backend server.
+    /// Pass the kept packets of this flow to the backend server.
     Release(Flow),
-    /// Forget the kept packets of this flow.
+    /// Drop the kept packets of this flow.
     Forget(Flow),
     /// Send the packet at hand to the client.
     ToClient,
-    /// Send a message with the packet at hand behind it.
+    /// Send a message, followed by the packet at hand.
     Return(Ipv4Addr, Message),
     /// Send a message.
     Send(Ipv4Addr, Message),
@@ -78,10 +78,10 @@
     Reset {
         /// The flow.
         flow: Flow,
-        /// Sequence number for it.
+        /// Sequence number of the reset.
         seq: u32,
     },
-    /// Write the list of open flows to the store.
+    /// Write a checkpoint to the store.
     Save(Checkpoint),
     /// Fetch a copy of the configuration from this balancer.
     Fetch(Holder),
@@ -89,11 +89,11 @@
     CountAnswer(u64),
     /// Count a request that waited for a slot.
     CountWait {
-        /// How urgent it is.
+        /// Urgency of the request.
         urgency: Urgency,
-        /// How long it waited, in milliseconds.
+        /// Waiting time, in milliseconds.
         waited_ms: u64,
     },
-    /// Write a line.
+    /// Write a log line.
     Note(Note),
 }
--- a/crates/nutmegkeel_core/src/l4/agent/refused.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/refused.rs
@@ -5,19 +5,20 @@
 use crate::clock::Time;
 use crate::l4::flow::{Flow, Head};
 
-/// A refused flow is remembered for so long, in milliseconds: a client that has not seen the reset sends
-/// its packets again after 200, 400 and 800 ms.
+/// Time for which a refused flow is remembered, in milliseconds. A client that has not received the
+/// reset retransmits after 200, 400 and 800 ms.
 const REMEMBERED_MS: u64 = 2_000;
 
-/// Flows remembered at most: an agent refuses some hundred a second under the worst load.
+/// Maximum number of flows to remember. Even under heavy overload an agent refuses only some
+/// hundred flows per second.
 const MOST: usize = 1_000;
 
-/// When a flow was refused, and what shows that a packet belongs to it.
+/// When a flow was refused, and what identifies its packets.
 #[derive(Clone, Copy, Debug)]
 struct Refusal {
     at: Time,
-    /// Acknowledgement number of its request. The server has sent nothing since its answer to the opening, so
-    /// all packets of the flow carry this number.
+    /// Acknowledgement number of its request. The server has sent nothing since its answer to the
+    /// opening, so all packets of the flow have this number.
     ack: u32,
 }
 
@@ -27,18 +28,20 @@
     }
 }
 
-/// Flows refused lately.
+/// Recently refused flows.
 ///
-/// Guards against a flood: the second packet of a request whose first was refused is on its way already.
-/// A balancer that hears that nobody here holds the flow asks all other agents, with the whole packet, and
-/// entry hosts with narrow links lose the packets of others.
+/// Guards against searches for refused flows. When the first packet of a request is refused, the
+/// second one is already on its way. If the agent answered that it does not hold the flow, the
+/// balancer would ask all other agents, each time with the whole packet, and entry hosts with
+/// narrow links would lose packets of other flows.
 #[derive(Debug, Default)]
 pub(super) struct Refused {
     flows: BTreeMap<Flow, Refusal>,
 }
 
 impl Refused {
-    /// Remembers the flow of a request; with too many known, the one refused first is forgotten.
+    /// Adds the flow of a request. If the limit is reached, removes the flow that was refused
+    /// first.
     pub(super) fn insert(&mut self, now: Time, request: &Head) {
         if self.flows.len() >= MOST {
             let oldest = self.flows.iter().min_by_key(|(_, refusal)| refusal.at);
@@ -48,22 +51,23 @@
         self.flows.insert(request.flow, Refusal { at: now, ack: request.ack });
     }
 
-    /// Whether a packet belongs to a flow that was refused lately.
+    /// Returns whether a packet belongs to a recently refused flow.
     ///
-    /// Guards against breaking an open flow of another server: a client that was refused may open again from the
-    /// same port, and a balancer that does not know where that flow went asks here. It has another server's
-    /// numbers.
+    /// The acknowledgement number must match. Guards against breaking an open flow of another
+    /// server: a refused client may open a new flow from the same port, and a balancer that does
+    /// not know where it went asks this agent. The packets of that flow acknowledge the other
+    /// server's numbers.
     pub(super) fn contains(&self, now: Time, head: &Head) -> bool {
         let refusal = self.flows.get(&head.flow).filter(|refusal| refusal.is_recent(now));
         refusal.is_some_and(|refusal| refusal.ack == head.ack)
     }
 
-    /// Forgets a flow that is opened again.
+    /// Removes a flow, because it is opened again.
     pub(super) fn remove(&mut self, flow: &Flow) {
         self.flows.remove(flow);
     }
 
-    /// Drops what was refused long ago.
+    /// Removes flows that were refused too long ago.
     pub(super) fn expire(&mut self, now: Time) {
         self.flows.retain(|_, refusal| refusal.is_recent(now));
     }
--- a/crates/nutmegkeel_core/src/l4/agent/replica.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/replica.rs
@@ -1,8 +1,8 @@
 //! Copies of the configuration that some agents hold for balancers.
 //!
-//! The load pattern: all balancers are killed while the store is away. Their agents live, servers are idle,
-//! and no balancer that starts again has a route by which a new flow could be placed, for as long as the
-//! store is away. An agent does not need the configuration itself.
+//! This matters when all balancers are killed while the store is unavailable. Agents and servers
+//! are still running, but a balancer that restarts has no route by which it could place a new flow
+//! until the store is back. An agent does not need the configuration itself.
 
 use std::net::Ipv4Addr;
 
@@ -12,46 +12,48 @@
 use crate::l4::policy::Mechanism;
 use crate::placement::mix;
 
-/// Agents of a failure domain that hold a copy, on the mean: one may be killed with the balancers, and
-/// one may be behind. More would only fetch the same text again at each change.
+/// Mean number of agents in a failure domain that hold a copy. One may be killed with the
+/// balancers, and one may have an old version. More holders would only fetch the same text again at
+/// each change.
 const HOLDERS: u64 = 3;
 
-/// A process that is younger than this fetches no copy, in milliseconds: after a mass restart agents are still
-/// being counted, and hosts have more urgent work.
+/// Minimum age of a process that fetches a copy, in milliseconds. After a mass restart agents are
+/// still being counted, and hosts have more urgent work.
 const YOUNG_MS: u64 = 3_000;
 
-/// Pause between two tries to fetch a copy, in milliseconds: a balancer answers within a second or not at all.
+/// Interval between two attempts to fetch a copy, in milliseconds. A balancer answers within a
+/// second or not at all.
 const RETRY_MS: u64 = 1_000;
 
-/// What an agent holds, and where there is something newer.
+/// The version that an agent holds, and the balancer that has the newest one.
 #[derive(Debug, Default)]
 pub(super) struct Replica {
     version: u64,
-    /// A balancer that has a newer version than any other told of so far, and that version.
+    /// The balancer that reported the newest version so far, and that version.
     newest: Option<(Ipv4Addr, u64)>,
     asked: Option<Time>,
 }
 
 impl Replica {
-    /// Version of the copy; zero if there is none.
+    /// Returns the version of the copy; zero if there is none.
     pub(super) const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes in which version a balancer has in force. Of equals the later word counts, because the
-    /// earlier balancer may have gone.
+    /// Records the version that a balancer has in force. Of two balancers with the same version the
+    /// later one is used, because the earlier one may have stopped.
     pub(super) fn note(&mut self, balancer: Ipv4Addr, version: u64) {
         if self.newest.is_none_or(|(_, newest)| version >= newest) {
             self.newest = Some((balancer, version));
         }
     }
 
-    /// Takes in that a copy of this version came.
+    /// Records that a copy of this version was fetched.
     pub(super) fn hold(&mut self, version: u64) {
         self.version = self.version.max(version);
     }
 
-    /// The balancer to fetch a newer copy from now, if there is one.
+    /// Returns the balancer to fetch a newer copy from now, if there is one.
     fn source(&self, now: Time) -> Option<Holder> {
         let (address, version) = self.newest?;
         let is_due = self.asked.is_none_or(|asked| now.since(asked) >= RETRY_MS);
@@ -60,8 +62,8 @@
 }
 
 impl Agent {
-    /// Fetches a newer copy, if this agent is one of those that hold one. Nobody is elected: a hash of the
-    /// address picks some of the agents that a failure domain has by what balancers tell.
+    /// Fetches a newer copy, if this agent is one of the holders. There is no election: a hash of
+    /// the address selects some of the agents that the failure domain has according to balancers.
     pub(super) fn replicate(&mut self, now: Time) -> Option<Action> {
         let is_old = now.since(self.started) >= YOUNG_MS;
         if !is_old || !self.uses(Mechanism::Replicas) || !self.is_holder(now) {
--- a/crates/nutmegkeel_core/src/l4/agent/request.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/request.rs
@@ -1,4 +1,4 @@
-//! Which openings an agent takes, and when requests go on to the backend server.
+//! Admission of openings, and release of requests to the backend server.
 
 use std::net::Ipv4Addr;
 
@@ -10,22 +10,24 @@
 use crate::l4::policy::Mechanism;
 use crate::l4::waiting::Waiting;
 
-/// Requests that may wait at the backend server itself before others wait at the agent: one to take the
-/// next slot, and one more because an opening becomes a request only a round trip later.
+/// Number of requests that may queue at the backend server before others wait at the agent: one to
+/// take the next free slot, and one because an opening turns into a request only a round trip
+/// later.
 const AHEAD: u16 = 2;
 
-/// An opening as a balancer sent it.
+/// An opening that a balancer sent.
 #[derive(Debug)]
 pub(super) struct Opening {
     pub(super) from: Ipv4Addr,
     pub(super) head: Head,
     pub(super) offer: Offer,
-    /// When it first came to a balancer.
+    /// When it first reached a balancer.
     pub(super) since: Time,
 }
 
 impl Agent {
-    /// The server accepts the opening at once; the first request may have to wait for a slot.
+    /// Handles an opening. The server accepts it at once; its first request may have to wait for a
+    /// slot.
     pub(super) fn open_flow(&mut self, now: Time, opening: &Opening) -> Vec<Action> {
         let (flow, demand) = (opening.head.flow, opening.offer.demand);
         let known = self.table.get(&flow);
@@ -62,9 +64,9 @@
         vec![action, self.accepted(flow)]
     }
 
-    /// Why an opening is not taken. What the agent sees itself goes before what a balancer believed:
-    /// a server that leaves takes nothing from the moment its heartbeat says so, and one of another
-    /// service, at an address used again, never sees the packet.
+    /// Returns why an opening is refused, if it is. What the agent observes takes precedence over
+    /// what the balancer assumed: a draining server accepts nothing from the heartbeat on that
+    /// reports it, and a server of another service, at a reused address, never receives the packet.
     fn refusal(&mut self, now: Time, opening: &Opening, is_copy: bool) -> Option<Reason> {
         let Some(server) = self.beside.server() else {
             return Some(Reason::Leaving);
@@ -92,8 +94,9 @@
         }
     }
 
-    /// Expected time from now to the answer of one more request: turns of the slots, each as long as
-    /// nearly every request. Requests that wait here do not count, because the newest goes first.
+    /// Returns the expected time until one more request is answered: the number of rounds through
+    /// the slots, each as long as nearly every request takes. Requests that wait at the agent do
+    /// not count, because the newest goes first.
     fn expected_ms(&self) -> u64 {
         let at_server = u64::from(self.table.load().busy);
         (at_server + 1).div_ceil(self.slots()) * self.pace.most_us() / 1_000
@@ -103,17 +106,18 @@
         self.beside.server().map_or(1, |server| u64::from(server.slots.max(1)))
     }
 
-    /// Whether the backend server has no slot left and enough to go on with. When this process ends,
-    /// what waits goes to the server's own queue: nobody else has it.
+    /// Returns whether the backend server has no free slot and its own queue is full enough. While
+    /// this process leaves, waiting requests go to the server's own queue, because no other process
+    /// has them.
     pub(super) fn is_saturated(&self) -> bool {
         let slots = self.beside.server().map_or(0, |server| server.slots);
         let waits_here = self.uses(Mechanism::AgentQueue) && !self.leaving;
         waits_here && self.table.load().busy >= slots + AHEAD
     }
 
-    /// Takes a client's packet of a flow that the server holds: requests go on while the server has
-    /// slots, and wait here otherwise, where the newest can go first; in the server's own queue they
-    /// are answered in the order of their arrival, and all of them late.
+    /// Accepts a client's packet of a flow that the server holds. Its request goes to the server if
+    /// a slot is free, and otherwise waits at the agent, where the newest can go first. The
+    /// server's own queue is answered in the order of arrival, which makes all requests late.
     pub(super) fn take(&mut self, now: Time, head: &Head, from: Ipv4Addr) -> Vec<Action> {
         if self.table.is_waiting(&head.flow) {
             return self.wait(now, head);
@@ -137,8 +141,8 @@
         self.wait(now, head)
     }
 
-    /// A client's packet of a flow whose request waits. One that ends the flow goes on to the server,
-    /// which frees what it holds for it.
+    /// Handles a client's packet of a flow whose request waits. A packet that ends the flow is
+    /// passed to the server, which then frees its resources.
     fn wait(&mut self, now: Time, head: &Head) -> Vec<Action> {
         let is_request = head.len > 0;
         if head.flags.rst || (head.flags.fin && !is_request) {
@@ -153,7 +157,7 @@
         }
         self.table.note_waiting(now, head);
         if is_request && !self.waiting.note_request(head) && !self.wait_again(now, head) {
-            // Nobody waited for it any more: it came too long after the opening.
+            // The request came so long after its opening that it has lost its place in the queue.
             self.table.admit(now, head.flow);
             self.table.note_client(now, head);
             return vec![Action::ToServer(0)];
@@ -162,8 +166,9 @@
         if is_request { vec![Action::Keep(*head), Action::Note(note)] } else { Vec::new() }
     }
 
-    /// Lets requests that wait go to the server as slots come free, and tells clients at once when
-    /// theirs has no chance any more. A server that drains still serves the flows it has accepted.
+    /// Releases waiting requests to the server as slots become free, and resets clients as soon as
+    /// their request cannot be answered in time. A draining server still serves the flows that it
+    /// has accepted.
     pub(super) fn release(&mut self, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.waiting.is_empty() {
@@ -184,7 +189,8 @@
         }
         for waiting in self.waiting.take_hopeless(now, self.slots(), self.pace.mean_us()) {
             match waiting.request.filter(|_| self.table.is_open(&waiting.flow)) {
-                // The server says itself that it has not run what it has no room for.
+                // The server itself rejects what it has no room for, which shows that the request
+                // has not run.
                 Some(request) => actions.extend(self.let_go(now, &waiting, &request)),
                 None => actions.extend(self.give_up(now, &waiting, Cause::Late)),
             }
@@ -197,7 +203,7 @@
         actions
     }
 
-    /// Hands a request that waited to the server.
+    /// Passes a request that waited to the server.
     pub(super) fn let_go(&mut self, now: Time, waiting: &Waiting, request: &Head) -> Vec<Action> {
         self.table.admit(now, waiting.flow);
         self.table.note_client(now, request);
@@ -206,9 +212,9 @@
         vec![Action::CountWait { urgency, waited_ms }, Action::Release(waiting.flow)]
     }
 
-    /// Gives a request up that waits and never reached the server. If the server has not seen the end
-    /// of the handshake, or is gone, the client is told by a reset. On a flow that is open nothing is
-    /// sent: a reset would break a flow of a server that is well, and the client's time is over.
+    /// Drops a waiting request that never reached the server. If the server has not seen the end of
+    /// the handshake, or has ended, the client gets a reset. On an open flow nothing is sent: a
+    /// reset would break a flow of a healthy server, and the client's deadline has passed.
     pub(super) fn give_up(&mut self, now: Time, waiting: &Waiting, cause: Cause) -> Vec<Action> {
         if waiting.request.is_none() {
             return Vec::new();
--- a/crates/nutmegkeel_core/src/l4/agent/standing.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/standing.rs
@@ -1,4 +1,4 @@
-//! What the agent believes of the backend server beside it.
+//! What the agent concludes about the backend server on its host.
 
 use std::sync::Arc;
 
@@ -10,16 +10,19 @@
 use crate::l4::policy::Mechanism;
 use crate::l4::server::{Heard, Heartbeat, Incarnation};
 
-/// A backend server that left all openings unanswered for so long takes no more: it answers within a
-/// millisecond, and the client's first copy, 200 ms after the opening, can then go elsewhere.
+/// Time without an answer to any opening after which the backend server gets no more, in
+/// milliseconds. A server answers within a millisecond. The client's first copy, 200 ms after the
+/// opening, can then go to another server.
 const UNRESPONSIVE_MS: u64 = 150;
 
-/// A flow whose backend server has sent something within this time was not cut off by a restart that
-/// a heartbeat tells of now: the heartbeat of a new incarnation comes with its start.
+/// Flows on which the backend server sent a packet within this time are not reset, in milliseconds.
+/// The first heartbeat of an incarnation arrives right after its start, so a restart that it
+/// reports cannot have ended such a flow.
 const ALIVE_MS: u64 = 1_000;
 
-/// An agent that has heard nothing for so long stands beside no server, in percent of the pause
-/// between two heartbeats: one and a half, because a server that runs sends its next one within one.
+/// Time without a heartbeat after which an agent concludes that there is no server on its host, in
+/// percent of the heartbeat interval. One and a half intervals, because a running server sends its
+/// next heartbeat within one.
 const UNHEARD_PERCENT: u64 = 150;
 
 impl Agent {
@@ -48,7 +51,7 @@
             }
         }
         actions.extend(self.tell_lost(now));
-        // A server that sends heartbeats is worth another try.
+        // A server that sends heartbeats gets another try.
         self.unanswered_since = None;
         self.deserted = false;
         actions.extend(self.responsive(now));
@@ -58,8 +61,8 @@
         actions
     }
 
-    /// Tells the clients of flows that went with the host. A flow that was opened anew meanwhile, from
-    /// the same port, is left alone.
+    /// Resets the flows that were lost with the host. A flow that has been opened again from the
+    /// same port is left alone.
     pub(super) fn tell_lost(&mut self, now: Time) -> Vec<Action> {
         let Some(server) = self.beside.server() else {
             return Vec::new();
@@ -82,10 +85,12 @@
         actions
     }
 
-    /// Whether every flow that the backend server holds passed this process: it saw the server's
-    /// first heartbeat, or has run for longer than a flow lives. Without a server there are no flows,
-    /// once one would have sent a heartbeat or answered a packet: a process that has just started may
-    /// stand beside a server that holds flows since before.
+    /// Returns whether this process has seen a packet of every flow that the backend server holds:
+    /// it received the server's first heartbeat, or has run for longer than a flow lives.
+    ///
+    /// If no server is known, there are no flows once a server would have sent a heartbeat or
+    /// answered a packet. Before that, the server on the host of a process that has just started
+    /// may hold earlier flows.
     pub(super) fn is_certain(&self, now: Time) -> bool {
         let age_ms = now.since(self.started);
         match self.beside.server() {
@@ -97,8 +102,9 @@
         }
     }
 
-    /// Notices a backend server that stopped answering, first to spare it new flows, and once its
-    /// heartbeats are missing too, to tell its clients: they would wait for their own timeouts.
+    /// Detects a backend server that stopped answering. It gets no new flows at first. When its
+    /// heartbeats are overdue too, its flows are reset, because their clients would wait until
+    /// their own timeouts.
     pub(super) fn judge_server(&mut self, now: Time) -> Vec<Action> {
         let Some(since) = self.unanswered_since else {
             return Vec::new();
@@ -122,11 +128,12 @@
         actions
     }
 
-    /// Notices a server that takes requests and never answers: it gets no new flows for a while, and clients
-    /// whose requests may run again are told, so that they come back while there is time.
+    /// Detects a server that accepts requests and never answers. It gets no new flows for a while,
+    /// and flows whose requests may run again are reset, so that their clients retry in time.
     ///
-    /// Guards against clients that wait in silence until their deadline on an open flow, which cannot be
-    /// moved. What must run once is left where it is: it may be running.
+    /// Guards against clients that wait without an answer until their deadline on an open flow,
+    /// which cannot be moved. Requests that must run once are left alone, because they may be
+    /// running.
     pub(super) fn notice_mute(&mut self, now: Time) -> Vec<Action> {
         let outstanding = self.table.outstanding();
         let limit = self.mute.look(now, outstanding, self.pace.most_us());
@@ -147,8 +154,9 @@
         actions
     }
 
-    /// Notices that no server stands beside this process, and says so to who asked. Guards against
-    /// clients of lost flows that wait for seconds for the answer of a host without a server.
+    /// Detects that there is no server on this host, and reports it to the balancers that asked for
+    /// a flow. Guards against clients of lost flows that wait for seconds for a host without a
+    /// server.
     pub(super) fn notice_absence(&mut self, now: Time) -> Vec<Action> {
         if self.beside.server().is_some() {
             return Vec::new();
--- a/crates/nutmegkeel_core/src/l4/agent/warmup.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/warmup.rs
@@ -1,15 +1,15 @@
-//! Whether the backend server is cold, and what it may be given then.
+//! Whether the backend server is cold, and how many openings it may get.
 
 use super::Agent;
 use crate::clock::Time;
 use crate::l4::server::Server;
 
 impl Agent {
-    /// Whether the backend server is cold: it says so itself, or its failure domain was taken back and
-    /// it has not spoken since.
+    /// Returns whether the backend server is cold: by its own report, or because the evacuation of
+    /// its failure domain has ended and no heartbeat has arrived since.
     ///
-    /// Guards against a full load on servers that became cold while they were evacuated: their last
-    /// heartbeat is from before and calls them warm.
+    /// Guards against full load on servers that became cold during the evacuation: their last
+    /// heartbeat is from before and reports them as warm.
     pub(super) fn is_cold(&self, now: Time) -> bool {
         let is_doubtful =
             |server: &Server| self.taken_back.is_some_and(|taken_back| server.heard <= taken_back);
@@ -17,7 +17,7 @@
         self.beside.server().is_some_and(is_cold)
     }
 
-    /// Openings that the server may be given now; none where nothing bounds them.
+    /// Returns the number of openings that the server may get now; `None` if there is no limit.
     pub(super) fn room(&self, now: Time) -> Option<u32> {
         self.budget.room(now).filter(|_| self.is_cold(now))
     }
--- a/crates/nutmegkeel_core/src/l4/checkpoint.rs
+++ b/crates/nutmegkeel_core/src/l4/checkpoint.rs
@@ -1,11 +1,13 @@
-//! Which flows an agent notes in the store, so that their clients learn at once that they are lost.
+//! Checkpoints: lists of open flows that agents save in the store, so that clients learn at once
+//! which flows are lost.
 //!
-//! The load pattern: a host loses power, or all do. Agent and backend server come back within seconds
-//! and know nothing. A client that had sent a request waits for an answer and sends its packet again
-//! ever more rarely, so the next copy often comes after its deadline, and until then nothing here
-//! knows of it. Clients with idle flows find out one by one with their next request, each by a search
-//! of all agents, just while the backlog is worked off. The list of open flows that the agent's
-//! predecessor left in the store tells them all as soon as the new backend server is known.
+//! This matters when one host or all hosts lose power. The agent and the backend server restart
+//! within seconds and know none of the earlier flows. A client that has sent a request retransmits
+//! it at growing intervals, so the next copy often arrives after its deadline, and nothing on the
+//! server's side knows of the flow before. Clients with idle flows find out one by one with their
+//! next request, each by a search of all agents, while the backlog is being processed. With the
+//! checkpoint of the agent's predecessor all of them are reset as soon as the new backend server is
+//! known.
 
 use std::collections::BTreeMap;
 
@@ -15,65 +17,70 @@
 use super::server::{Incarnation, Server};
 use crate::clock::Time;
 
-/// Pause between two writes at least, in milliseconds: a list is a few seconds old on the mean when it is
-/// needed, and a client of a flow that is not in it learns of the loss half a second later.
+/// Minimum interval between two writes, in milliseconds. A checkpoint is a few seconds old on
+/// average when it is needed. A client whose flow is not in it learns of the loss half a second
+/// later.
 pub const PAUSE_MS: u64 = 3_000;
 
-/// A list is written again once so many of the flows, in percent, are missing in it or have moved on
-/// too far: less often would leave many clients untold, more often costs calls for few.
+/// Share of the flows, in percent, that must be missing from the last checkpoint or out of date in
+/// it before it is written again. A higher share leaves many clients without a reset; a lower one
+/// costs writes for few flows.
 const MISSING_PERCENT: usize = 25;
 
-/// A note is out of date once the client has acknowledged so many bytes more: half of what a reset's
-/// number may be off, because the client goes on until the next write.
+/// Bytes that the client may acknowledge after a checkpoint before its entry is out of date. Half
+/// the permitted error of a reset's sequence number, because the client goes on until the next
+/// write.
 const DRIFT: u32 = 38_000;
 
-/// Flows noted at most: 21 bytes each, in a value of at most a megabyte.
+/// Maximum number of flows in a checkpoint: 21 bytes each, in a value of at most one megabyte.
 const MOST: usize = 10_000;
 
-/// The predecessor's list helps no client after this, in milliseconds: none has so much time.
+/// Time after the start of the process in which the predecessor's checkpoint is useful, in
+/// milliseconds. No client waits longer for an answer.
 const USEFUL_MS: u64 = 10_000;
 
-/// A new backend server has sent no more heartbeats than this when it is first heard of, if it does not tell
-/// when it started. Guards against a heartbeat that was held up: one of an earlier incarnation would pass for
-/// a new server, and flows of the present one would be reset.
+/// Highest sequence number of the first heartbeat received from a backend server that counts as new
+/// although it reports no start time. Guards against a delayed heartbeat of an earlier incarnation:
+/// it would be taken for a new server, and flows of the current one would be reset.
 const YOUNG: u64 = 3;
 
 /// The open flows of one incarnation of a backend server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// Orders the lists of one host, also of processes that follow each other there.
+    /// Orders the checkpoints of one host, including those of successive processes.
     pub number: u64,
-    /// The incarnation.
+    /// The incarnation that holds the flows.
     pub server: Incarnation,
-    /// What each client had acknowledged last.
+    /// Last acknowledgement number of each client.
     pub flows: BTreeMap<Flow, u32>,
 }
 
-/// How far the predecessor's list is dealt with.
+/// Processing state of the predecessor's checkpoint.
 #[derive(Debug)]
 enum Before {
     /// The store has not answered yet.
     Unread,
-    /// Read, and the backend server is not known yet.
+    /// The checkpoint was read; the backend server is not known yet.
     Read(Checkpoint),
-    /// Dealt with, or too old to matter.
+    /// Processed, absent or too old.
     Done,
 }
 
-/// Decides what is written when, and what the predecessor's list means.
+/// Decides when a checkpoint is written, and which flows of the predecessor's checkpoint are lost.
 #[derive(Debug)]
 pub struct Keeper {
     started: Time,
     before: Before,
     saved: Checkpoint,
     saved_at: Time,
-    /// Highest number of a list known.
+    /// Highest known number of a checkpoint.
     number: u64,
     writes_per_s: u64,
 }
 
 impl Keeper {
-    /// A keeper of a process that starts now; all agents together may write so often a second.
+    /// Creates a recorder for a process that starts now. All agents together may write
+    /// `writes_per_s` checkpoints per second.
     #[must_use]
     pub fn open(now: Time, writes_per_s: u64) -> Self {
         Self {
@@ -86,7 +93,7 @@
         }
     }
 
-    /// Takes in what the predecessor left; none if there is no list.
+    /// Applies the predecessor's checkpoint; `None` if there is none.
     pub fn read(&mut self, checkpoint: Option<Checkpoint>) {
         if let Some(checkpoint) = &checkpoint {
             self.note_number(checkpoint.number);
@@ -96,8 +103,8 @@
         }
     }
 
-    /// The flows that went with the predecessor's backend server, once: if the present one is another
-    /// incarnation. If it is the same, its flows live on.
+    /// Returns the flows that were lost with the predecessor's backend server. Returns them once,
+    /// and none if the current server is the same incarnation and still holds them.
     pub fn take_lost(&mut self, now: Time, server: &Server) -> Vec<(Flow, u32)> {
         let Before::Read(checkpoint) = &mut self.before else {
             return Vec::new();
@@ -113,8 +120,9 @@
         if is_new { checkpoint.flows.into_iter().collect() } else { Vec::new() }
     }
 
-    /// The list to write now, if one is due: too many flows are missing in the last one. The pause grows
-    /// with the number of agents, so that the store's rate holds.
+    /// Returns the checkpoint to write now, if one is due because too many flows are missing from
+    /// the last one. The interval grows with the number of agents, so that they stay within the
+    /// store's write rate.
     pub fn due(
         &mut self,
         now: Time,
@@ -135,7 +143,7 @@
         if missing == 0 || missing * 100 < flows.len() * MISSING_PERCENT {
             return None;
         }
-        // The time of day, or the next number where that was set back.
+        // The time of day, or the next number if the clock was set back.
         self.number = now.millis().max(self.number + 1);
         let (number, server) = (self.number, server.incarnation.clone());
         self.saved = Checkpoint { number, server, flows };
@@ -143,18 +151,20 @@
         Some(self.saved.clone())
     }
 
-    /// Notes that what was written may be gone: the store came back from an older copy. The flows are noted again
-    /// when the next list is due, which spreads the lists of all agents over its pause.
+    /// Forgets the saved checkpoint, because the store was restored from an older copy and may have
+    /// lost it. The flows are saved again when the next checkpoint is due, which spreads the writes
+    /// of all agents over the interval.
     pub fn forget_saved(&mut self) {
         self.saved = Checkpoint::default();
     }
 
-    /// Notes the number of a list that is in the store; the next one gets a higher one.
+    /// Records the number of a checkpoint in the store; the next one gets a higher number.
     pub fn note_number(&mut self, number: u64) {
         self.number = self.number.max(number);
     }
 
-    /// A store that does not answer must not keep this process from noting its own flows for long.
+    /// Stops waiting for the predecessor's checkpoint after a time, so that a store that does not
+    /// answer cannot keep this process from saving its own flows.
     fn give_up_reading(&mut self, now: Time) {
         if now.since(self.started) > USEFUL_MS {
             self.before = Before::Done;
--- a/crates/nutmegkeel_core/src/l4/handover.rs
+++ b/crates/nutmegkeel_core/src/l4/handover.rs
@@ -1,60 +1,64 @@
-//! How an agent's list of open flows reaches the store: by a balancer that writes many lists with one
-//! call, by another one if that is silent, and at last by the agent's own call.
+//! Handover of an agent's checkpoint to the store: through a balancer that writes many checkpoints
+//! with one call, through another balancer if the first does not answer, and finally with a call of
+//! the agent's own.
 //!
-//! The load pattern: lists come all the time, so a balancer that dies, stands still or is cut off from the
-//! store must cost one list some seconds, not all lists until somebody notices.
+//! Checkpoints are written all the time. A balancer that dies, stalls or loses its connection to
+//! the store must therefore delay one checkpoint by some seconds, not all of them until the fault
+//! is detected.
 
 use std::net::Ipv4Addr;
 
 use super::checkpoint::{self, Checkpoint};
 use crate::clock::Time;
 
-/// A balancer that has not confirmed a list within this is passed over, in milliseconds: it gathers lists for
-/// a second, and the store answers within some milliseconds.
+/// Time after which a balancer that has not confirmed a checkpoint is passed over, in milliseconds.
+/// It collects checkpoints for a second, and the store answers within some milliseconds.
 const CONFIRM_MS: u64 = 2_000;
 
-/// Flows of a list that fits into one datagram: 21 bytes each in two kilobytes. A longer list is written by the
-/// agent itself, because every balancer would drop it.
+/// Maximum number of flows in a checkpoint that fits into one datagram: 21 bytes each in two
+/// kilobytes. The agent writes a longer one itself, because every balancer would drop it.
 pub const LONGEST: usize = 80;
 
-/// Lists wait at a balancer at most so long for others to go with them, in milliseconds: a list is written
-/// each 3 s, so one of a failure domain of 27 agents goes with eight others on the mean.
+/// Maximum time for which a checkpoint waits at a balancer for others to be written with it, in
+/// milliseconds. Each agent writes one every 3 s, so in a failure domain of 27 agents a call writes
+/// nine on average.
 pub const GATHER_MS: u64 = 1_000;
 
-/// What to do with a list.
+/// What to do with a checkpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Hand it to a balancer.
+    /// Send it to a balancer.
     Deposit(Ipv4Addr, Checkpoint),
-    /// Write it with a call of one's own.
+    /// Write it with a call of the agent's own.
     Write(Checkpoint),
 }
 
-/// The list that is on its way.
+/// The checkpoint that is being handed over.
 #[derive(Debug, Default)]
 pub struct Handover {
     list: Option<Checkpoint>,
-    /// Balancers that were asked, the last one at the end.
+    /// Balancers that were asked, the most recent one last.
     asked: Vec<Ipv4Addr>,
     asked_at: Time,
 }
 
 impl Handover {
-    /// Takes in a new list, which makes an earlier one needless. A balancer that is at work on that one
-    /// gets the new one too.
+    /// Starts the handover of a new checkpoint, which replaces an earlier one. A balancer that is
+    /// processing the earlier one gets the new one too.
     pub fn begin(&mut self, list: Checkpoint) {
         self.list = Some(list);
         self.asked.clear();
     }
 
-    /// Whether a list is on its way.
+    /// Returns whether a checkpoint is being handed over.
     #[must_use]
     pub const fn is_pending(&self) -> bool {
         self.list.is_some()
     }
 
-    /// What to do now. `delegates` are the balancers that write for others, none if none is known; the
-    /// list waits while the store answers none of them. `agents` are those of the failure domain.
+    /// Returns the next step, if one is due. `delegates` are the balancers that write for others;
+    /// without any the agent writes itself. The checkpoint waits while the store answers none of
+    /// them. `agents` is the number of agents in the failure domain.
     pub fn step(
         &mut self,
         now: Time,
@@ -84,8 +88,9 @@
         Some(Step::Deposit(*next, list.clone()))
     }
 
-    /// Takes in that the store has a list with this number. If it is later than the one on its way, a
-    /// process of this host wrote it whose clock was ahead: the list gets a number behind it.
+    /// Records that the store has a checkpoint with this number. If the number is higher than that
+    /// of the pending one, a process of this host with a clock ahead of this one's wrote it, and
+    /// the pending one gets the next number.
     pub fn written(&mut self, number: u64) {
         let Some(list) = &mut self.list else {
             return;
@@ -101,11 +106,11 @@
     }
 }
 
-/// Whether a balancer would find other lists to write with one.
+/// Returns whether a balancer would collect at least two checkpoints for a call.
 ///
-/// The load pattern: a few agents in each failure domain. A balancer that waits for a second finds no
-/// second list, so it saves no call, makes each list a second older, and is one more process whose death
-/// costs lists.
+/// With only a few agents in each failure domain, a balancer that waits for a second finds no
+/// second checkpoint. It saves no call, makes each checkpoint a second older, and is one more
+/// process whose failure costs checkpoints.
 const fn gathers(agents: u64) -> bool {
     agents * GATHER_MS >= 2 * checkpoint::PAUSE_MS
 }
--- a/crates/nutmegkeel_core/src/l4/mute.rs
+++ b/crates/nutmegkeel_core/src/l4/mute.rs
@@ -1,49 +1,54 @@
-//! Notices a backend server that takes requests and never answers them.
+//! Detection of a backend server that accepts requests and never answers them.
 //!
-//! The load pattern: such a server accepts flows, acknowledges requests and sends heartbeats, so nothing but
-//! the missing answers shows it. Its clients wait in silence until their deadline, on flows that are open, and
-//! new flows come whenever somebody gives up. What is normal is learnt from the server itself: a service may
-//! take 5 ms or 5 s.
+//! Such a server accepts flows, acknowledges requests and sends heartbeats, so only the missing
+//! answers show the fault. Its clients wait until their deadline on open flows, and new flows
+//! arrive whenever one gives up. The normal response time is learned from the server itself,
+//! because it may be 5 ms for one service and 5 s for another.
 
 use crate::clock::Time;
 
-/// Turns of a slot, each as long as nearly every request takes, without a single answer. Eight, because a
-/// server that became several times slower still answers now and then, and a server with two slots and an
-/// exponential spread of service times is silent for so long less than once in ten million requests.
+/// Time without a single answer after which the server counts as mute, as a multiple of the time
+/// that nearly every request takes. Eight, because a server that became several times slower still
+/// answers occasionally. A server with two slots and exponentially distributed service times is
+/// silent for so long less than once in ten million requests.
 const TURNS: u64 = 8;
 
-/// Objectives, and part of the deadline in percent, without a single answer that are no sign yet, whatever is
-/// usual. Guards against a server that is taken for mute, and open flows that are reset, because it pauses once or
-/// two requests of a rare, long kind meet among many short ones, from which the usual time is learnt. A request past
-/// its objective is late either way, and three quarters of the deadline are left for its client's other tries.
+/// Minimum time without a single answer, as a multiple of the objective and in percent of the
+/// deadline, whatever the usual time is.
+///
+/// Guards against reset flows of a healthy server that pauses once, or that gets two requests of a
+/// rare, long kind together while the usual time was learned from many short ones. A request past
+/// its objective is late anyway, and three quarters of the deadline remain for its client's
+/// retries.
 const OBJECTIVES: u64 = 2;
 const DEADLINE_PERCENT: u64 = 25;
 
-/// Requests that wait at least: one alone may lack a packet that its client is still sending again.
+/// Minimum number of waiting requests. A single one may lack a packet that its client is still
+/// retransmitting.
 const REQUESTS: usize = 2;
 
-/// Answers from which the usual time is learnt before a server is judged: a guess would take a cold server for
-/// mute, and reset flows that live.
+/// Number of answers from which the usual time is learned before the server is judged. With a
+/// guessed time a cold server would count as mute, and its flows would be reset.
 const ANSWERS: u32 = 16;
 
-/// A gap between two looks longer than this means that this process stood still, in milliseconds: answers may
-/// have come that it has not read yet.
+/// Longest gap between two checks, in milliseconds. After a longer one this process has stalled,
+/// and may not have read answers that arrived in that time.
 const STANDSTILL_MS: u64 = 400;
 
-/// What waits at the server.
+/// Requests that wait for the server's answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outstanding {
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub requests: usize,
-    /// When the oldest of them went to the server.
+    /// When the oldest of them was sent to the server.
     pub since: Option<Time>,
-    /// Longest objective of them, in milliseconds.
+    /// Longest of their objectives, in milliseconds.
     pub objective_ms: u64,
-    /// Longest deadline of them, in milliseconds.
+    /// Longest of their deadlines, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// Watches for a server that is mute.
+/// Detects a mute server.
 #[derive(Debug)]
 pub struct Watch {
     answered: Time,
@@ -52,20 +57,20 @@
 }
 
 impl Watch {
-    /// A watch that begins now.
+    /// Creates a detector that starts now.
     #[must_use]
     pub const fn open(now: Time) -> Self {
         Self { answered: now, answers: 0, looked: now }
     }
 
-    /// Notes that the server answered a request.
+    /// Records that the server answered a request.
     pub const fn answered(&mut self, now: Time) {
         self.answered = now;
         self.answers = self.answers.saturating_add(1);
     }
 
-    /// If the server is mute: since when a request has waited for too long, so that those that came before
-    /// are to be given up. `most_us` is the time that nearly every request takes.
+    /// Returns a limit if the server is mute: requests sent to it before this time have waited too
+    /// long and must be given up. `most_us` is the time that nearly every request takes.
     pub fn look(&mut self, now: Time, outstanding: Outstanding, most_us: u64) -> Option<Time> {
         let stood_still = now.since(self.looked) > STANDSTILL_MS;
         self.looked = now;
--- a/crates/nutmegkeel_core/src/l4/outlier.rs
+++ b/crates/nutmegkeel_core/src/l4/outlier.rs
@@ -1,31 +1,32 @@
-//! Notices a backend server that breaks requests off although it says that it is well.
+//! Detection of a backend server that breaks requests off although it reports that it is healthy.
 //!
-//! The load pattern: such a server is rid of each request at once, so it always looks idle and draws
-//! more flows than its healthy peers. Its heartbeats and health checks are good; only the broken
-//! requests show it.
+//! Such a server finishes each request at once, so it always looks idle and attracts more flows
+//! than its healthy peers. Its heartbeats and health checks are good; only the broken requests show
+//! the fault.
 
 use crate::clock::Time;
 
-/// Outcomes looked at: about half a second of work at three slots of 60 ms each.
+/// Number of outcomes considered: those of about half a second, for three slots and requests of 60
+/// ms.
 const WINDOW: u32 = 16;
 
-/// Broken requests among them that are no accident. One or two happen when clients and servers close
-/// a flow at the same moment.
+/// Number of broken requests among them that show a fault. One or two occur when the client and the
+/// server close a flow at the same time.
 const BROKEN: u32 = 3;
 
-/// First pause, in milliseconds; it doubles each time the server fails again soon after its return.
+/// First pause, in milliseconds. It doubles each time the server fails again soon after its return.
 const FIRST_PAUSE_MS: u64 = 2_000;
 
-/// Longest pause, in milliseconds: a server that has recovered is missed no longer than this.
+/// Longest pause, in milliseconds. A recovered server goes unused for no longer than this.
 const LONGEST_PAUSE_MS: u64 = 16_000;
 
-/// Requests answered in a row after which earlier failures count no more.
+/// Number of consecutive answered requests after which earlier pauses no longer count.
 const CLEARED: u32 = 50;
 
-/// The last outcomes of one backend server.
+/// Recent outcomes of one backend server, and whether it is spared.
 #[derive(Debug, Default)]
 pub struct Record {
-    /// One bit for each outcome, the newest lowest; set if the request was broken off.
+    /// One bit for each outcome, the newest in the lowest bit; set if the request was broken off.
     outcomes: u16,
     answered_in_a_row: u32,
     pauses: u32,
@@ -33,7 +34,7 @@
 }
 
 impl Record {
-    /// Notes a request that was answered.
+    /// Records a request that was answered.
     pub fn answered(&mut self) {
         self.outcomes <<= 1;
         self.answered_in_a_row += 1;
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Notes a request that was broken off; true if the server is to be spared from now on.
+    /// Records a request that was broken off; returns whether the server is spared from now on
+    /// because of it.
     pub fn broken(&mut self, now: Time) -> bool {
         const { assert!(WINDOW == u16::BITS, "the outcomes fill their bits") };
         self.outcomes = self.outcomes << 1 | 1;
@@ -50,7 +52,7 @@
         self.outcomes.count_ones() >= BROKEN && self.spare(now)
     }
 
-    /// Spares the server from now on; false if it is spared already.
+    /// Spares the server from now on; returns `false` if it is already spared.
     pub fn spare(&mut self, now: Time) -> bool {
         if self.is_failing(now) {
             return false;
@@ -62,13 +64,13 @@
         true
     }
 
-    /// Whether the server is spared now.
+    /// Returns whether the server is spared.
     #[must_use]
     pub fn is_failing(&self, now: Time) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
-    /// Forgets all, for a new incarnation.
+    /// Resets the state, for a new incarnation.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/crates/nutmegkeel_core/src/l4/server.rs
+++ b/crates/nutmegkeel_core/src/l4/server.rs
@@ -1,4 +1,4 @@
-//! The backend server beside an agent, as its heartbeats describe it.
+//! The backend server on an agent's host, as its heartbeats describe it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,31 +8,33 @@
 use super::route::Service;
 use crate::clock::Time;
 
-/// Heartbeats that may be missing before the backend server counts as gone, in percent of the pause
-/// between two: two and a half, so that one late heartbeat is no sign.
+/// Time without a heartbeat after which the backend server is overdue, in percent of the heartbeat
+/// interval. Two and a half intervals, so that one late heartbeat has no effect.
 const MISSING_PERCENT: u64 = 250;
 
-/// Earlier incarnations remembered at most: an address is rarely used more often within the minute
-/// in which a late heartbeat may arrive.
+/// Maximum number of earlier incarnations to remember. An address is rarely reused more often
+/// within the minute in which a delayed heartbeat may still arrive.
 const RETIRED: usize = 8;
 
-/// Least pause between two heartbeats that were heard, in percent of the usual pause. A living server's come
-/// 90 to 110 percent apart; those that were held up by a cut, or that nobody acknowledged, come closer.
+/// Shortest interval between two heartbeats that were received in time, in percent of the
+/// configured interval. A running server sends them at 90 to 110 percent of it. Heartbeats that a
+/// partition delayed, or that nobody acknowledged, arrive closer together.
 const PAUSE_PERCENT: u64 = 75;
 
 /// One start of a backend server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Its identity, which a server may keep when it starts again.
+    /// Identity of the server, which may stay the same across restarts.
     pub id: Arc<str>,
-    /// When it started, Unix milliseconds by its own clock; none if it does not say.
+    /// When the server started, in Unix milliseconds by its own clock; `None` if it does not report
+    /// this.
     pub started_ms: Option<u64>,
 }
 
-/// One heartbeat.
+/// A heartbeat of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Which start of the backend server speaks.
+    /// The incarnation that sent the heartbeat.
     pub incarnation: Incarnation,
     /// Its service.
     pub service: Service,
@@ -40,34 +42,34 @@
     pub slots: u16,
     /// Whether it is leaving.
     pub draining: bool,
-    /// How much longer it is slow after its start, in milliseconds.
+    /// Remaining warm-up time, in milliseconds.
     pub warmup_ms: u64,
-    /// Count of heartbeats of this incarnation.
+    /// Sequence number of the heartbeat within its incarnation.
     pub seq: u64,
 }
 
-/// What a heartbeat told.
+/// What a heartbeat changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heard {
-    /// The first heartbeat that this process hears. The server may hold flows since before.
+    /// The first heartbeat that this process received. The server may already hold flows.
     First,
-    /// A new incarnation; flows of the one before are gone.
+    /// A new incarnation runs; the flows of the earlier one are gone.
     Replaced,
-    /// It takes no more flows from now on.
+    /// The server accepts no new flows from now on.
     Draining,
-    /// Nothing new.
+    /// Nothing changed.
     Same,
-    /// Perhaps from a new incarnation, perhaps held up or from another writer: the next heartbeat
-    /// decides.
+    /// Either a new incarnation runs, or the heartbeat was delayed or comes from another sender.
+    /// The next heartbeat decides.
     Contested,
-    /// From an incarnation that has ended, or older than one heard before.
+    /// From an incarnation that has ended, or older than a heartbeat already received.
     Stale,
 }
 
-/// The incarnation that runs now.
+/// The current incarnation of a backend server.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Which start of the server it is.
+    /// Identity and start time.
     pub incarnation: Incarnation,
     /// Its service.
     pub service: Service,
@@ -75,15 +77,16 @@
     pub slots: u16,
     /// Whether it is leaving.
     pub draining: bool,
-    /// When it is warm.
+    /// When the warm-up ends.
     pub warm_at: Time,
-    /// Number of the first of its heartbeats that this process heard.
+    /// Sequence number of the first heartbeat that this process received.
     pub first_seq: u64,
-    /// Number of its last heartbeat.
+    /// Sequence number of the last heartbeat.
     pub seq: u64,
-    /// When that came.
+    /// When the last heartbeat arrived.
     pub heard: Time,
-    /// Whether no process heard of it before this one, which so saw every flow that it accepted.
+    /// Whether no earlier process can have received a heartbeat of this incarnation, so that this
+    /// process has seen every flow that the server accepted.
     pub seen_from_start: bool,
 }
 
@@ -103,7 +106,7 @@
     }
 }
 
-/// An incarnation that may be the present one, but has not shown it yet.
+/// An incarnation that may be the current one but is not confirmed yet.
 #[derive(Debug)]
 struct Rival {
     incarnation: Incarnation,
@@ -111,7 +114,7 @@
     heard: Time,
 }
 
-/// The backend server and its earlier incarnations.
+/// The current incarnation of a backend server and its earlier ones.
 #[derive(Debug)]
 pub struct Beside {
     heartbeat_ms: u64,
@@ -122,26 +125,30 @@
 }
 
 impl Beside {
-    /// Nothing is known yet; heartbeats come about every `heartbeat_ms`.
+    /// Creates a history without a known server. Heartbeats are expected about every
+    /// `heartbeat_ms`.
     #[must_use]
     pub const fn open(heartbeat_ms: u64) -> Self {
         Self { heartbeat_ms, server: None, rival: None, retired: BTreeMap::new() }
     }
 
-    /// The incarnation that runs now.
+    /// Returns the current incarnation.
     #[must_use]
     pub const fn server(&self) -> Option<&Server> {
         self.server.as_ref()
     }
 
-    /// Whether another incarnation may have taken the server's place. A server of another service gets
-    /// no new flows from its first heartbeat on, though it is believed only with its second.
+    /// Returns whether another incarnation may have replaced the current one.
+    ///
+    /// The agent accepts no new flows from the first heartbeat of such an incarnation on, because
+    /// it may belong to another service. The incarnation becomes current only with its second
+    /// heartbeat.
     #[must_use]
     pub const fn is_contested(&self) -> bool {
         self.rival.is_some()
     }
 
-    /// Takes in a heartbeat.
+    /// Applies a heartbeat.
     pub fn heartbeat(&mut self, now: Time, beat: &Heartbeat) -> Heard {
         if let Some(server) =
             self.server.as_mut().filter(|server| server.incarnation == beat.incarnation)
@@ -161,8 +168,8 @@
         self.replace(now, beat)
     }
 
-    /// The incarnation said that it ends; true if it was the one that runs. One that does not say when
-    /// it started is taken for the present one of that identity.
+    /// Applies a deregistration; returns whether it ended the current incarnation. A deregistration
+    /// without a start time applies to the current incarnation with the same identity.
     pub fn deregistered(&mut self, leaving: &Incarnation) -> bool {
         let is_meant = |server: &Server| {
             let known = &server.incarnation;
@@ -176,22 +183,24 @@
         ends
     }
 
-    /// Whether the last server said that it ended.
+    /// Returns whether the last known server has deregistered.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         self.server.is_none() && !self.retired.is_empty()
     }
 
-    /// Whether heartbeats are missing.
+    /// Returns whether the server's next heartbeat is overdue.
     #[must_use]
     pub fn is_overdue(&self, now: Time) -> bool {
         let limit = self.heartbeat_ms * MISSING_PERCENT / 100;
         self.server.as_ref().is_some_and(|server| now.since(server.heard) > limit)
     }
 
-    /// Guards against a heartbeat that was held up until its sender had crashed and another had
-    /// started at the same address: it would close the new one's flows. An ended incarnation counts
-    /// again only with a later heartbeat than its last one, and when the present one is silent.
+    /// Applies a heartbeat of an ended incarnation. The incarnation becomes current again only if
+    /// the heartbeat is newer than its last one and the current incarnation is overdue or absent.
+    ///
+    /// Guards against a heartbeat that is delayed until its sender has crashed and another server
+    /// has started at the same address: applying it would reset the flows of the new server.
     fn reconsider(&mut self, now: Time, beat: &Heartbeat, last: u64) -> Heard {
         if beat.seq > last && (self.server.is_none() || self.is_overdue(now)) {
             self.replace(now, beat)
@@ -200,10 +209,12 @@
         }
     }
 
-    /// Whether a heartbeat of an unknown incarnation may be no word of a server that runs: it started
-    /// before one that is known, it is of another service than the present server, or lacks the time of
-    /// its start, which the present server tells. The first is held up, or its host's clock went back;
-    /// the others are a new server at an address that is used again, or the word of another writer.
+    /// Returns whether a heartbeat of an unknown incarnation needs confirmation.
+    ///
+    /// This is the case if the incarnation started before a known one, belongs to another service
+    /// than the current server, or has no start time although a known one has. In the first case
+    /// the heartbeat was delayed, or the host's clock was set back. In the others, the sender is a
+    /// new server at a reused address, or an unrelated process.
     fn is_doubtful(&self, beat: &Heartbeat) -> bool {
         let present = self.server.as_ref();
         let known = self.retired.keys().chain(present.map(|server| &server.incarnation));
@@ -212,9 +223,10 @@
         is_earlier || present.is_some_and(|server| server.service != beat.service)
     }
 
-    /// Whether a doubtful incarnation has sent a second heartbeat a pause after its first, and the
-    /// present one was silent meanwhile. Only a server that runs does so: held up heartbeats come
-    /// together, and a present server that lives would have sent its own.
+    /// Returns whether an unconfirmed incarnation has sent a second heartbeat at least the minimum
+    /// interval after its first, while the current server sent none. Only a running server does so:
+    /// delayed heartbeats arrive together, and a current server that is alive would have sent its
+    /// own.
     fn shows_life(&mut self, now: Time, beat: &Heartbeat) -> bool {
         let pause_ms = self.least_pause_ms();
         let (incarnation, seq) = (&beat.incarnation, beat.seq);
@@ -236,13 +248,15 @@
         if is_first { Heard::First } else { Heard::Replaced }
     }
 
-    /// Whether no process heard of the server before, so that none passed an opening on to it: this is its
-    /// first heartbeat, or comes so soon after its start that those before it were not acknowledged.
+    /// Returns whether no earlier process can have received a heartbeat of this incarnation, and so
+    /// none forwarded an opening to it. This holds for its first heartbeat, and for one so soon
+    /// after its start that the earlier ones cannot have been acknowledged.
     ///
-    /// Guards against clients that wait for seconds after a loss of power: a server starts a moment before its
-    /// agent, whose first heartbeat is then the second or third, and an agent that is not sure what its server
-    /// holds makes balancers ask the server itself about every flow that is gone. The time is that of the
-    /// host's clock, as both sides read it; one that was set back shows a start in the future and proves nothing.
+    /// Guards against clients that wait for seconds after a power loss. A server may start shortly
+    /// before its agent, so that the agent first receives its second or third heartbeat. An agent
+    /// that is not certain which flows its server holds makes balancers query the server about
+    /// every lost flow. The age is computed from the host's clock, which both processes read. If
+    /// the clock was set back, the start lies in the future and proves nothing.
     fn is_first_heard(&self, now: Time, beat: &Heartbeat) -> bool {
         let started = beat.incarnation.started_ms;
         let age_ms = started.and_then(|started| now.millis().checked_sub(started));
--- a/crates/nutmegkeel_core/src/l4/speed.rs
+++ b/crates/nutmegkeel_core/src/l4/speed.rs
@@ -1,37 +1,41 @@
-//! How long a slot of the backend server works on one request, also while no slot is ever free.
+//! Service time of a backend server: how long a slot works on one request, measured even while no
+//! slot is ever free.
 //!
-//! The load pattern: a server becomes several times slower while its heartbeats and health checks stay good.
-//! It is full from then on, so no request finds a free slot there any more, and a time learnt only from those
-//! that did stays what it was. What always shows is how long its slots were at work for how many answers:
-//! requests that queue behind the slots count as no work, and one that is not answered yet counts already.
+//! This matters when a server becomes several times slower while its heartbeats and health checks
+//! stay good. From then on it is full, so no request finds a free slot, and a service time learned
+//! only from requests that did would never change. The meter instead divides the time for which the
+//! slots were busy by the number of answers. Requests that queue behind the slots count as no work,
+//! and a request that is not answered yet already counts.
 
 use std::collections::VecDeque;
 
 use crate::clock::Time;
 
-/// Answers that the time is taken over at least. A few in a hundred requests may take seven times as long as
-/// the others; with fewer answers a few of those together would pass for a slow server.
+/// Minimum number of answers in the window. A few percent of the requests may take seven times as
+/// long as the others; with fewer answers some of those together would make a server look slow.
 const ANSWERS: u64 = 24;
 
-/// Answers that show a server which has become fast again. Fewer, because it gets little to answer until then;
-/// of a slow one whose times spread widely so many are rarely short in a row.
+/// Number of answers that show that a server has become fast again. It is smaller, because a slow
+/// server gets few requests. A slow server whose service times vary widely rarely has so many short
+/// ones in a row.
 const RECENT_ANSWERS: u64 = 8;
 
-/// Time that it is taken over at least, in milliseconds: one crowding of long requests is no slowness.
+/// Minimum length of the window, in milliseconds, so that one cluster of long requests does not
+/// make a server look slow.
 const SHORTEST_MS: u64 = 500;
 
-/// What is older counts no more, in milliseconds. A longer time of service is cut off here too: clients have
-/// given up by then, so that beyond it the server may as well never answer.
+/// Maximum length of the window, in milliseconds, and upper limit of the service time. Clients have
+/// given up by then, so a slower server might as well never answer.
 pub const LONGEST_MS: u64 = 10_000;
 
-/// Work is added up over spans of this length, in milliseconds, which bounds the memory of a meter.
+/// Length of the spans over which work is summed, in milliseconds. It bounds the memory of a meter.
 const SPAN_MS: u64 = 50;
 
-/// A gap between two looks longer than this means that this process stood still, in milliseconds: it cannot
-/// know for how long the slots were at work meanwhile.
+/// Longest gap between two updates, in milliseconds. After a longer one this process has stalled,
+/// and does not know for how long the slots were busy in that time.
 const STANDSTILL_MS: u64 = 400;
 
-/// Work of the slots and answers within a span.
+/// Work of the slots, and answers, within a span.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Work {
     slot_ms: u64,
@@ -43,7 +47,8 @@
         Self { slot_ms: self.slot_ms + other.slot_ms, answers: self.answers + other.answers }
     }
 
-    /// Time that a slot works on a request, in milliseconds. Work without answers counts as that of one request.
+    /// Returns the time that a slot works on a request, in milliseconds. Work without answers
+    /// counts as that of one request.
     fn service_ms(self) -> u64 {
         let answers = self.answers.max(1);
         let service_ms = (self.slot_ms + answers / 2) / answers;
@@ -61,37 +66,37 @@
     work: Work,
 }
 
-/// Measures the time of service of one backend server.
+/// Measures the service time of one backend server.
 #[derive(Debug)]
 pub struct Meter {
-    /// Slots at work since the last look.
+    /// Number of busy slots since the last update.
     working: u64,
     looked: Time,
-    /// The oldest first.
+    /// Spans of the window, the oldest first.
     spans: VecDeque<Span>,
     total: Work,
 }
 
 impl Meter {
-    /// A meter of a server of which nothing is known yet.
+    /// Creates a meter for a server of which nothing is known.
     #[must_use]
     pub const fn open(now: Time) -> Self {
         let total = Work { slot_ms: 0, answers: 0 };
         Self { working: 0, looked: now, spans: VecDeque::new(), total }
     }
 
-    /// Forgets all: another server runs, or the same one has become warm.
+    /// Restarts the measurement, because another server runs or the server's warm-up has ended.
     pub fn clear(&mut self) {
         self.spans.clear();
         self.total = Work::default();
     }
 
-    /// Notes an answer.
+    /// Records an answer.
     pub fn answered(&mut self, now: Time) {
         self.add(now, Work { slot_ms: 0, answers: 1 });
     }
 
-    /// Notes how many slots are at work from now on.
+    /// Records the number of slots that are busy from now on.
     pub fn look(&mut self, now: Time, working: u64) {
         let passed_ms = now.since(self.looked);
         if passed_ms > STANDSTILL_MS {
@@ -104,10 +109,10 @@
         self.forget(now);
     }
 
-    /// Time that a slot works on a request, in milliseconds; zero while it is not known.
+    /// Returns the time that a slot works on a request, in milliseconds; zero if it is not known.
     ///
-    /// Work counts before it is answered. Guards against a server that takes requests and never answers, which
-    /// would look fast by the answers that it gave before.
+    /// Work counts before it is answered. Guards against a server that accepts requests and never
+    /// answers: by its earlier answers it would still look fast.
     #[must_use]
     pub fn service_ms(&self) -> u16 {
         if self.total.answers < ANSWERS && self.total.slot_ms < LONGEST_MS {
@@ -119,7 +124,7 @@
         u16::try_from(if is_faster { recent_ms } else { service_ms }).unwrap_or(u16::MAX)
     }
 
-    /// The last few answers, and the work since the one before them.
+    /// Returns the most recent answers, and the work since the one before them.
     fn recent(&self) -> Work {
         let mut recent = Work::default();
         for span in self.spans.iter().rev() {
@@ -139,7 +144,8 @@
         }
     }
 
-    /// Drops what is too old, and the oldest answers with the work before them as long as the rest is enough.
+    /// Removes spans that are too old, and then the oldest answers with the work before them while
+    /// the rest is enough.
     fn forget(&mut self, now: Time) {
         while self.spans.front().is_some_and(|oldest| now.since(oldest.began) > LONGEST_MS) {
             self.drop_oldest(1);
--- a/crates/nutmegkeel_core/src/l4/table.rs
+++ b/crates/nutmegkeel_core/src/l4/table.rs
@@ -13,14 +13,14 @@
 
 pub use held::{Held, Stage};
 
-/// An accepted opening counts as a request in progress for so long: the request follows within a
-/// round trip, or the client has gone.
+/// Time for which an accepted opening counts as a request in progress, in milliseconds. The request
+/// follows within a round trip, or the client has gone.
 const FOLLOW_UP_MS: u64 = 250;
 
-/// A client's first acknowledgement lies at most this far behind the server's opening number.
+/// Maximum distance of a client's first acknowledgement from the server's initial sequence number.
 const FIRST_ACK_REACH: u32 = 1 << 17;
 
-/// The flows by their ends.
+/// The flows that a backend server holds, and the load that they make.
 #[derive(Debug, Default)]
 pub struct Table {
     flows: BTreeMap<Flow, Held>,
@@ -28,7 +28,7 @@
 }
 
 impl Table {
-    /// Requests in progress and open flows.
+    /// Returns the number of requests in progress and of open flows.
     #[must_use]
     pub fn load(&self) -> Load {
         Load {
@@ -38,25 +38,25 @@
         }
     }
 
-    /// Requests that have come to the server and are not answered yet.
+    /// Returns the number of requests that have reached the server and are not answered yet.
     #[must_use]
     pub const fn working(&self) -> usize {
         self.load.working
     }
 
-    /// A flow, if it is known.
+    /// Returns a flow, if it is known.
     #[must_use]
     pub fn get(&self, flow: &Flow) -> Option<&Held> {
         self.flows.get(flow)
     }
 
-    /// Notes an opening that goes to the server, and what its requests ask for.
+    /// Records an opening that goes to the server, and what its requests demand.
     pub fn open(&mut self, now: Time, flow: Flow, seq: u32, demand: Demand) {
         self.insert(flow, Held::opening(now, seq, demand));
     }
 
-    /// Lets the next request of a flow go to the server. It counts as in progress from now on: after
-    /// an opening it follows within a round trip, and until then nothing else would show it.
+    /// Passes the next request of a flow to the server. It counts as in progress from now on: after
+    /// an opening the request follows within a round trip, and until then no packet shows it.
     pub fn admit(&mut self, now: Time, flow: Flow) {
         let behind = self.load.busy;
         self.update(flow, |held| {
@@ -66,24 +66,24 @@
         });
     }
 
-    /// Lets the next request of a flow wait, or no longer.
+    /// Sets whether the next request of a flow waits for a slot.
     pub fn set_waiting(&mut self, flow: Flow, waits: bool) {
         self.update(flow, |held| held.waits = waits);
     }
 
-    /// Whether the request of a flow waits for a slot.
+    /// Returns whether the request of a flow waits for a slot.
     #[must_use]
     pub fn is_waiting(&self, flow: &Flow) -> bool {
         self.flows.get(flow).is_some_and(|held| held.waits)
     }
 
-    /// What the requests on a flow ask for, if it is known.
+    /// Returns what the requests on a flow demand, if this is known.
     #[must_use]
     pub fn demand(&self, flow: &Flow) -> Option<Demand> {
         self.flows.get(flow)?.demand
     }
 
-    /// If a client's packet begins a request: what it asks for, as far as that is known.
+    /// Returns what a request demands if a client's packet starts one and its demand is known.
     #[must_use]
     pub fn begins(&self, head: &Head) -> Option<Demand> {
         let held = self.flows.get(&head.flow)?;
@@ -91,8 +91,8 @@
         held.demand.filter(|_| begins)
     }
 
-    /// Whether a client's packet belongs to another server: it does not acknowledge the number with
-    /// which this one answered a copy of the opening.
+    /// Returns whether a client's packet belongs to another server, because it does not acknowledge
+    /// the sequence number with which this server answered a copy of the opening.
     #[must_use]
     pub fn is_elsewhere(&self, head: &Head) -> bool {
         match self.flows.get(&head.flow).map(|held| held.stage) {
@@ -101,13 +101,13 @@
         }
     }
 
-    /// Whether the server has the end of the flow's handshake.
+    /// Returns whether the server has received the end of the flow's handshake.
     #[must_use]
     pub fn is_open(&self, flow: &Flow) -> bool {
         self.flows.get(flow).is_some_and(|held| held.stage == Stage::Open)
     }
 
-    /// Notes a client's packet that does not go to the server yet.
+    /// Records a client's packet that does not go to the server yet.
     pub fn note_waiting(&mut self, now: Time, head: &Head) {
         self.update(head.flow, |held| {
             held.used = now;
@@ -115,21 +115,21 @@
         });
     }
 
-    /// Notes a flow that this process learns of by a packet of the server.
+    /// Records a flow that this process discovers by a packet of the server.
     pub fn adopt(&mut self, now: Time, head: &Head) {
         let stage = if head.flags.syn { Stage::Opening(Some(head.seq)) } else { Stage::Open };
         self.insert(head.flow, Held::new(now, stage));
     }
 
-    /// Forgets a flow.
+    /// Removes a flow.
     pub fn remove(&mut self, flow: &Flow) -> Option<Held> {
         let held = self.flows.remove(flow)?;
         self.count(held.weight(), Weight::default());
         Some(held)
     }
 
-    /// Whether a client's packet belongs to a flow that the server holds. Of two servers that both
-    /// accepted an opening, the flow is at the one whose number the client acknowledges.
+    /// Returns whether a client's packet belongs to a flow that the server holds. If two servers
+    /// accepted the opening, the flow is at the one whose sequence number the client acknowledges.
     #[must_use]
     pub fn takes(&self, now: Time, head: &Head) -> bool {
         let Some(held) = self.flows.get(&head.flow) else {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Notes a client's packet that goes to the server.
+    /// Records a client's packet that goes to the server.
     pub fn note_client(&mut self, now: Time, head: &Head) {
         let behind = self.load.busy;
         self.update(head.flow, |held| {
@@ -161,7 +161,7 @@
         });
     }
 
-    /// Notes a server's packet; if it decides a request, says how.
+    /// Records a server's packet; returns the outcome of a request that it answers or breaks off.
     pub fn note_server(&mut self, now: Time, head: &Head) -> Option<Outcome> {
         let mut outcome = None;
         self.update(head.flow, |held| {
@@ -185,14 +185,14 @@
         outcome
     }
 
-    /// Open flows, with their clients' last acknowledgement numbers.
+    /// Returns the open flows with the last acknowledgement numbers of their clients.
     pub fn open_flows(&self) -> impl Iterator<Item = (Flow, u32)> + '_ {
         let is_open = |held: &Held| held.stage == Stage::Open && !held.is_over();
         let open = self.flows.iter().filter(move |(_, held)| is_open(held));
         open.map(|(flow, held)| (*flow, held.client_ack))
     }
 
-    /// What waits for the server's answer.
+    /// Returns the requests that wait for the server's answer.
     #[must_use]
     pub fn outstanding(&self) -> Outstanding {
         let mut outstanding = Outstanding::default();
@@ -208,7 +208,8 @@
         outstanding
     }
 
-    /// Takes out the flows whose request has been with the server since before `limit` and may run again.
+    /// Removes and returns the flows whose request was sent to the server before `limit` and may
+    /// run again.
     pub fn take_stuck(&mut self, limit: Time) -> Vec<(Flow, Held)> {
         let is_stuck = |held: &Held| {
             let request = held.in_progress();
@@ -219,7 +220,7 @@
         self.take_if(is_stuck)
     }
 
-    /// Takes out the open flows whose server has sent nothing for `silent_ms`.
+    /// Removes and returns the open flows on which the server has sent nothing for `silent_ms`.
     pub fn take_silent(&mut self, now: Time, silent_ms: u64) -> Vec<(Flow, Held)> {
         let is_silent = |held: &Held| {
             held.stage == Stage::Open && !held.is_over() && now.since(held.server_heard) > silent_ms
@@ -233,7 +234,7 @@
         meant.into_iter().filter_map(|flow| Some((flow, self.remove(&flow)?))).collect()
     }
 
-    /// Drops what is over, and requests that no client waits for any more.
+    /// Removes expired flows, and requests that no client waits for any more.
     pub fn expire(&mut self, now: Time) {
         let limit = |held: &Held| if held.stage == Stage::Open { REQUEST_MS } else { FOLLOW_UP_MS };
         let mut load = Weight::default();
@@ -270,17 +271,17 @@
     }
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Its answer begins.
+    /// The answer started.
     Answered {
         /// Time since the request, in milliseconds.
         after_ms: u64,
         /// Requests that were in progress when it came.
         behind: usize,
     },
-    /// The server broke the flow off without an answer.
+    /// The server reset the flow without an answer.
     Broken {
         /// Requests that were in progress when it came.
         behind: usize,
--- a/crates/nutmegkeel_core/src/l4/table/held.rs
+++ b/crates/nutmegkeel_core/src/l4/table/held.rs
@@ -1,48 +1,49 @@
-//! One flow that a backend server holds, as far as the packets that pass tell.
+//! A flow that a backend server holds, as far as its packets show.
 
 use crate::clock::Time;
 use crate::l4::flow::{DATA_REACH, Head, follows};
 use crate::l4::health::FORGET_MS;
 use crate::l4::message::Demand;
 
-/// An opening that is not followed up within this time came to nothing: clients give an opening up
-/// after 1.4 s.
+/// Time after which an opening without a following packet has failed, in milliseconds. Clients give
+/// an opening up after 1.4 s.
 const OPENING_MS: u64 = 1_500;
 
-/// A flow that has ended is remembered for so long, because its last packets may come again: both
-/// ends send them again for at most this time.
+/// Time for which an ended flow is remembered, in milliseconds. Both ends may retransmit its last
+/// packets for at most this time.
 const ENDED_MS: u64 = 5_000;
 
-/// A request counts as in progress no longer than this: clients give up sooner.
+/// Longest time for which a request counts as in progress, in milliseconds. Clients give up sooner.
 pub(super) const REQUEST_MS: u64 = 10_000;
 
-/// How far a flow has come.
+/// Stage of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// The opening went to the server; the number that the server answered with, if it did.
+    /// The opening went to the server. Holds the initial sequence number of the server's answer, if
+    /// it came.
     Opening(Option<u32>),
-    /// The client's packets reached the server, or the server sent data.
+    /// A packet of the client reached the server, or the server sent data.
     Open,
 }
 
-/// One flow.
+/// State of one flow.
 #[derive(Clone, Debug)]
 pub struct Held {
-    /// How far it has come.
+    /// Its stage.
     pub stage: Stage,
-    /// Sequence number of the client's opening.
+    /// Initial sequence number of the client.
     pub opened_with: u32,
-    /// The client's last acknowledgement number.
+    /// Last acknowledgement number of the client.
     pub client_ack: u32,
-    /// What the requests on this flow ask for; none if it is not known.
+    /// What the requests on this flow demand; `None` if this is not known.
     pub(super) demand: Option<Demand>,
-    /// Whether a request waits here for a slot, or will when it comes.
+    /// Whether the flow's request waits at the agent for a slot, or will when it arrives.
     pub(super) waits: bool,
     pub(super) client_next: Option<u32>,
     pub(super) used: Time,
     pub(super) server_heard: Time,
     pub(super) request_since: Option<Time>,
-    /// Requests that were in progress when this one came.
+    /// Number of requests that were in progress when this one arrived.
     pub(super) request_behind: usize,
     pub(super) client_fin: bool,
     pub(super) server_fin: bool,
@@ -68,12 +69,12 @@
         }
     }
 
-    /// A flow whose opening goes to the server, and what its requests ask for.
+    /// Creates a flow whose opening goes to the server, with the demand of its requests.
     pub(super) const fn opening(now: Time, seq: u32, demand: Demand) -> Self {
         Self { opened_with: seq, demand: Some(demand), ..Self::new(now, Stage::Opening(None)) }
     }
 
-    /// Whether both ends, or a reset, ended it.
+    /// Returns whether the flow was ended by both ends or by a reset.
     #[must_use]
     pub const fn is_over(&self) -> bool {
         self.ended.is_some()
@@ -87,19 +88,19 @@
         Weight { busy, open: 1, working: self.is_at_work() as usize }
     }
 
-    /// The request that is at the server: since when, and what it asks for if that is known.
+    /// Returns the request at the server: since when, and its demand if this is known.
     pub(super) fn in_progress(&self) -> Option<(Time, Option<Demand>)> {
         let is_there = self.stage == Stage::Open && !self.is_over() && !self.waits;
         Some((self.request_since.filter(|_| is_there)?, self.demand))
     }
 
-    /// Whether a request has come to the server and is not answered.
+    /// Returns whether a request has reached the server and is not answered.
     const fn is_at_work(&self) -> bool {
         let has_come = self.request_since.is_some() && self.client_next.is_some();
         has_come && !self.waits && matches!(self.stage, Stage::Open)
     }
 
-    /// Whether a client's packet brings data that did not come before.
+    /// Returns whether a client's packet has data that did not arrive before.
     pub(super) fn brings_data(&self, head: &Head) -> bool {
         let is_new = |next| follows(head.next_seq(), next, DATA_REACH);
         head.len > 0 && self.client_next.is_none_or(is_new)
@@ -123,12 +124,12 @@
     }
 }
 
-/// What flows add to the load.
+/// Contribution of one or more flows to the load.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Weight {
     pub(super) busy: usize,
     pub(super) open: usize,
-    /// Requests that have come to the server.
+    /// Number of requests that have reached the server.
     pub(super) working: usize,
 }
 
