--- a/crates/nutmegkeel_core/tests/l4/agent.rs
+++ b/crates/nutmegkeel_core/tests/l4/agent.rs
@@ -16,14 +16,14 @@
     Event::Open { from: BALANCER, head: opening(flow, copies), offer }
 }
 
-/// An agent beside a server that it has known since the server's start.
+/// An agent whose server it has known since the server's start.
 fn serving() -> Agent {
     let mut agent = agent();
     agent.handle(at(0), Event::Heartbeat(heartbeat("a", 1)));
     agent
 }
 
-/// Opens a flow at the server and has its first request in progress.
+/// Opens a flow at the server and sends its first request.
 fn request(agent: &mut Agent, now_ms: u64, flow: Flow) {
     agent.handle(at(now_ms), open(flow, 0, WAITS));
     agent.handle(at(now_ms), Event::FromServer(accepted(flow, 500)));
@@ -81,8 +81,8 @@
     assert!(to_server(&actions), "{actions:?}");
 }
 
-/// A filing reaches the records vault: an address was used again by another service, and a balancer
-/// still believes the old one is there. The agent knows its server and never hands the opening over.
+/// Guards against requests that reach the wrong service: an address is reused by another service
+/// while a balancer still has the old announcement.
 #[test]
 fn an_opening_for_another_service_never_reaches_the_server() {
     let mut agent = serving();
@@ -111,8 +111,9 @@
     assert!(to_server(&ours), "{ours:?}");
 }
 
-/// A feed is answered by two servers in turn. Both had accepted a copy of its opening, with numbers near
-/// each other, and the agent of the second, which had not seen its server start, asked it all the same.
+/// Guards against two servers answering one flow: both accepted a copy of its opening, with
+/// sequence numbers close to each other, and the agent of the second, not certain of its server's
+/// flows, probed it.
 #[test]
 fn a_server_is_not_asked_for_a_flow_that_another_server_has() {
     let mut agent = agent();
@@ -128,8 +129,8 @@
     assert!(!to_server(&actions), "{actions:?}");
 }
 
-/// A feed is reset although its server lives: another agent held only a copy of its opening, said that
-/// it holds the flow, and died.
+/// Guards against the reset of a flow of a healthy server: another agent, which has only a copy of
+/// the opening, claims the flow and dies.
 #[test]
 fn an_agent_with_a_copy_of_the_opening_does_not_say_that_it_holds_the_flow() {
     let mut agent = serving();
@@ -142,8 +143,8 @@
     assert_eq!(actions, [Action::Send(BALANCER, unsure)]);
 }
 
-/// A feed is told that nobody holds it while its server serves. The agent's process was replaced, and
-/// before the server's next heartbeat it took itself for an agent without a server.
+/// Guards against a flow that is reported as lost although its server holds it: a replaced agent
+/// process must not assume before the first heartbeat that there is no server.
 #[test]
 fn a_restarted_agent_asks_its_server_before_the_first_heartbeat() {
     let mut agent = agent();
@@ -195,8 +196,8 @@
     assert!(actions.iter().any(tells), "{actions:?}");
 }
 
-/// Feeds break off after their agent's process was replaced: the first heartbeat that the new
-/// process hears looked like a new server, and flows that were quiet for a second were reset.
+/// Guards against resets after a replacement of the agent's process: the first heartbeat that the
+/// new process receives is not that of a new server, also for flows that were idle for a second.
 #[test]
 fn the_first_heartbeat_after_a_restart_resets_nothing() {
     let mut agent = agent();
@@ -219,8 +220,8 @@
     assert!(resets(&actions), "{actions:?}");
 }
 
-/// A client's flow is open, and a late copy of its opening finds the server full. The server hands
-/// the copy back, and the agent took that for the end of the flow.
+/// Guards against losing an open flow: a full server returns a delayed copy of the flow's opening,
+/// and the agent takes this for the end of the flow.
 #[test]
 fn a_bounced_copy_of_an_opening_does_not_end_the_flow() {
     let mut agent = serving();
@@ -245,8 +246,8 @@
     assert_eq!(refusal(&actions), Some(Reason::Leaving));
 }
 
-/// A feed hangs until its client's own timeout because its server died: the client has sent its
-/// request and waits. Openings stay unanswered and heartbeats are missing.
+/// Guards against clients that wait until their own timeout because the server died after their
+/// request: openings stay unanswered and heartbeats are missing.
 #[test]
 fn clients_of_a_dead_server_are_told() {
     let mut agent = serving();
@@ -292,7 +293,7 @@
     answers.flat_map(|head| agent.handle(at(now_ms), Event::FromServer(head))).collect()
 }
 
-/// An agent whose server has all slots taken and enough to go on with, and flow 9 opened behind that.
+/// An agent whose server has no free slot and a full queue, with flow 9 opened after that.
 fn saturated() -> Agent {
     let mut agent = serving();
     for port in 1..=8 {
@@ -303,7 +304,7 @@
     agent
 }
 
-/// The same with the request of flow 9, which waits.
+/// The same with the waiting request of flow 9.
 fn with_waiting_request() -> Agent {
     let mut agent = saturated();
     let head = data(flow(9), 1_001, 501);
@@ -311,9 +312,9 @@
     agent
 }
 
-/// After a loss of power hundreds of clients use up their tries within seconds. Each gave up an opening
-/// that waited for a slot after 1.4 s, came back with a new one and was put first again. The server
-/// accepts the opening at once now, and the request is what waits.
+/// Guards against clients that use up their attempts within seconds after a power loss. If the
+/// opening waits for a slot, its client gives it up after 1.4 s, and its next opening goes first
+/// again.
 #[test]
 fn an_opening_is_accepted_at_once_and_its_request_waits_for_a_slot() {
     let mut agent = saturated();
@@ -338,7 +339,8 @@
     assert!(actions.iter().any(holds), "{actions:?}");
 }
 
-/// A client waits in silence until its own deadline for a request that has no chance any more.
+/// Guards against clients that wait until their deadline for a request that can no longer be
+/// answered in time.
 #[test]
 fn a_request_that_cannot_be_answered_in_time_is_refused_at_once() {
     let mut agent = with_waiting_request();
@@ -361,8 +363,8 @@
     assert!(actions.contains(&Action::Reset { flow: flow(9), seq: 501 }), "{actions:?}");
 }
 
-/// A feed is reset although its server lives: the client had opened it, and the server drains while
-/// the first request waits. A draining server serves the flows that it has accepted.
+/// Guards against the reset of an open flow: the server starts to drain while the flow's first
+/// request waits. A draining server still serves the flows that it has accepted.
 #[test]
 fn requests_that_wait_stay_with_a_draining_server() {
     let mut agent = with_waiting_request();
@@ -376,7 +378,7 @@
     assert!(freed.contains(&Action::Release(flow(9))), "{freed:?}");
 }
 
-/// Requests that wait are lost with the agent's process when it is replaced.
+/// Guards against the loss of waiting requests when the agent's process is replaced.
 #[test]
 fn an_agent_that_leaves_hands_all_waiting_requests_to_the_server() {
     let mut agent = with_waiting_request();
@@ -437,8 +439,8 @@
     assert_eq!(agent.state(at(201)), State::Restarting);
 }
 
-/// Filings fail one after the other at a server whose health check is good. It breaks each off at
-/// once, so it looks idle and draws the most.
+/// Guards against requests that fail one after the other at a server with good health checks: it
+/// breaks each off at once, so it looks idle and attracts the most.
 #[test]
 fn a_server_that_breaks_requests_off_is_spared() {
     let mut agent = serving();
@@ -454,8 +456,9 @@
     assert_eq!(agent.state(at(2_200)), State::Ready);
 }
 
-/// Clients of lost flows wait for seconds because a host without a backend server was started: its
-/// agent could not say that it holds nothing. One and a half heartbeats are enough to know.
+/// Guards against clients of lost flows that wait for seconds, because the agent of a host without
+/// a backend server cannot report that it holds nothing. It can after one and a half heartbeat
+/// intervals.
 #[test]
 fn an_agent_that_hears_no_server_holds_nothing() {
     let mut agent = agent();
@@ -466,8 +469,8 @@
     assert!(actions.iter().any(denies), "{actions:?}");
 }
 
-/// All feeds that pass a balancer break off two seconds after it was told to stop: agents no longer
-/// spoke to it, and it took them for dead while it still carried packets.
+/// Guards against resets of all flows of a draining balancer: without announcements it considers
+/// the agents dead after two seconds, while it still forwards packets.
 #[test]
 fn an_agent_goes_on_speaking_to_a_balancer_that_leaves() {
     let mut agent = serving();
@@ -480,12 +483,12 @@
     assert!(actions.iter().any(speaks), "{actions:?}");
 }
 
-/// Whether a balancer is told that a flow is not here.
+/// Returns whether a balancer is notified that a flow is not here.
 fn absent(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Send(_, Message::Absent { .. })))
 }
 
-/// Lets a client send one request at each of these times, as copies of a packet that nobody answers.
+/// Sends copies of one request at these times, none of which is answered.
 fn request_again(agent: &mut Agent, times: &[u64]) {
     let head = data(flow(1), 1_001, 501);
     for time in times {
@@ -493,8 +496,9 @@
     }
 }
 
-/// Clients of lost flows wait for seconds: a host was started again without a backend server, and its
-/// agent handed every question to nobody. A server that holds a flow acknowledges every second packet of it.
+/// Guards against clients of lost flows that wait for seconds, because the agent of a host without
+/// a server passes each probe to nothing. A server that holds a flow acknowledges every second
+/// packet of it.
 #[test]
 fn an_agent_whose_server_leaves_a_request_and_its_copies_unanswered_says_that_the_flow_is_not_here()
 {
@@ -508,8 +512,8 @@
     assert!(absent(&late), "{late:?}");
 }
 
-/// Guards against open flows that are reset because their agent was restarted and its server is still at work on
-/// the first request that it was handed: silence shows no more than that the request takes its time.
+/// Guards against resets of open flows after a restart of the agent: its server may still be
+/// working on the first request that was probed, so a short silence proves nothing.
 #[test]
 fn a_server_at_work_on_a_request_is_not_taken_for_one_that_is_gone() {
     let mut agent = agent();
@@ -523,8 +527,8 @@
     assert_eq!(other, [Action::Send(BALANCER, unsure)]);
 }
 
-/// A feed breaks off because a balancer asked for its flow without a packet, just after the agent's
-/// process was replaced: the agent knew of no server yet and said that the flow is not here.
+/// Guards against the reset of an open flow: a balancer asks for the flow just after the agent's
+/// process was replaced, before the agent knows its server.
 #[test]
 fn an_agent_that_does_not_know_its_server_yet_says_only_that_it_is_unsure() {
     let mut agent = agent();
@@ -535,7 +539,7 @@
     assert_eq!(actions, [Action::Send(BALANCER, unsure)]);
 }
 
-/// An agent with flow 9 open and idle, whose server has all slots taken by other flows.
+/// An agent with flow 9 open and idle, whose server has all slots busy with other flows.
 fn saturated_beside_an_open_flow() -> Agent {
     let mut agent = serving();
     request(&mut agent, 100, flow(9));
@@ -546,8 +550,8 @@
     agent
 }
 
-/// All feeds are late for seconds after a restart, while servers are cold: requests on open flows went
-/// straight into the server's queue, which answers in the order of arrival.
+/// Guards against late answers on all open flows while servers are cold after a restart: the
+/// server's own queue is answered in the order of arrival.
 #[test]
 fn a_request_on_an_open_flow_waits_for_a_slot_too() {
     let mut agent = saturated_beside_an_open_flow();
@@ -560,8 +564,8 @@
     assert!(freed.contains(&Action::Release(flow(9))), "{freed:?}");
 }
 
-/// A feed breaks off although its server lives: a request on it waited for too long, and the agent
-/// reset the flow. On a flow that is open, nothing is sent.
+/// Guards against the reset of an open flow on which a request waited too long. Only the request is
+/// dropped.
 #[test]
 fn a_request_on_an_open_flow_that_waited_too_long_resets_nothing() {
     let mut agent = saturated_beside_an_open_flow();
@@ -579,8 +583,8 @@
     assert!(to_server(&goes_on), "{goes_on:?}");
 }
 
-/// A server crashed and is back under its old id. Clients of its flows wait for answers that nobody will
-/// send: the old heartbeats' count made the new ones look late, and no reset was sent.
+/// Guards against clients that wait for answers from a crashed server: it restarts with its old id,
+/// and its heartbeats are taken for delayed ones because their sequence numbers start again.
 #[test]
 fn clients_of_a_server_that_is_back_under_its_old_id_are_told_at_once() {
     let mut agent = agent();
@@ -594,8 +598,8 @@
     assert_eq!(agent.state(at(1_500)), State::Ready);
 }
 
-/// A word of another service came, perhaps of the server that now stands at this address. Until the next
-/// heartbeat tells, an opening must not reach a server of the wrong service.
+/// Guards against openings that reach a server of the wrong service: another server may have
+/// started at this address, and the next heartbeat decides.
 #[test]
 fn an_agent_whose_server_is_contested_takes_no_openings_until_the_next_heartbeat() {
     let mut agent = serving();
@@ -611,8 +615,8 @@
     assert!(to_server(&taken), "{taken:?}");
 }
 
-/// All hosts come back from a loss of power within 0.3 s, agents before balancers. A balancer that missed
-/// an agent's first announcement heard of it 0.4 s later; its server idled while others drowned.
+/// Guards against idle servers after a power loss: a balancer that missed an agent's first
+/// announcement learned of it only 0.4 s later, while other servers were overloaded.
 #[test]
 fn an_agent_announces_itself_with_each_tick_to_a_balancer_that_has_not_answered() {
     let mut agent = agent();
--- a/crates/nutmegkeel_core/tests/l4/backend.rs
+++ b/crates/nutmegkeel_core/tests/l4/backend.rs
@@ -4,14 +4,14 @@
 
 use nutmegkeel_core::l4::flow::Head;
 
-/// Requests that it works on at once.
+/// Number of requests that it processes concurrently.
 pub(crate) const SLOTS: usize = 4;
 
-/// A request takes so long while the server is cold, and when it is warm, in milliseconds.
+/// Time of a request while the server is cold, and when it is warm, in milliseconds.
 const COLD_MS: u64 = 94;
 const WARM_MS: u64 = 59;
 
-/// The server is cold for so long, in milliseconds.
+/// Time for which the server is cold, in milliseconds.
 pub(crate) const COLD_UNTIL_MS: u64 = 2_000;
 
 /// A backend server that answers in the order of arrival.
@@ -22,7 +22,7 @@
 }
 
 impl Server {
-    /// Goes on to `now`; returns the requests that are answered.
+    /// Advances to `now`; returns the requests that are answered.
     pub(crate) fn step(&mut self, now: u64) -> Vec<Head> {
         let (done, busy): (Vec<_>, Vec<_>) = self.busy.drain(..).partition(|(at, _)| *at <= now);
         self.busy = busy;
--- a/crates/nutmegkeel_core/tests/l4/checkpoint.rs
+++ b/crates/nutmegkeel_core/tests/l4/checkpoint.rs
@@ -4,7 +4,7 @@
 
 use crate::fixture::{BALANCER, accepted, agent, at, data, flow, heartbeat, incarnation, roster};
 
-/// The list that an earlier process left of one flow at this server.
+/// An earlier process's checkpoint with one flow at this server.
 fn left_by(server: &str, flow: Flow, ack: u32) -> Event {
     Event::Recovered(Some(Checkpoint {
         number: 1,
@@ -17,7 +17,7 @@
     Action::Reset { flow, seq }
 }
 
-/// An agent whose server answers a flow's data with `bytes` acknowledged, seen from the start.
+/// An agent with one open flow, on which the client has acknowledged `bytes`.
 fn with_open_flow(bytes: u32) -> Agent {
     let mut agent = agent();
     agent.handle(at(0), Event::Recovered(None));
@@ -35,8 +35,9 @@
     })
 }
 
-/// After a loss of power a feed hangs until its deadline, and the client's next feed begins with a
-/// search for a flow that nobody holds. Host and server have come back, and nobody knows the flow.
+/// Guards against clients that wait until their deadline after a power loss: the host and the
+/// server have restarted, no process knows the flow, and its next request starts a search of all
+/// agents.
 #[test]
 fn clients_of_a_host_that_lost_power_are_told_as_soon_as_its_new_server_is_known() {
     let mut agent = agent();
@@ -58,9 +59,9 @@
     assert!(actions.contains(&reset_of(flow(1), 700)), "{actions:?}");
 }
 
-/// After a loss of power clients of lost flows wait for seconds, though the store has the list of their flows:
-/// it was away when their host came back, and by the time that it hands the list out the server has sent
-/// more heartbeats than one that is just heard of.
+/// Guards against clients that wait for seconds because the store was unavailable when their host
+/// restarted. By the time that the checkpoint is read, the server has sent more heartbeats than a
+/// new one.
 #[test]
 fn a_list_that_the_store_hands_out_late_still_tells_its_clients() {
     let mut agent = agent();
@@ -73,8 +74,8 @@
     assert!(actions.contains(&reset_of(flow(1), 700)), "{actions:?}");
 }
 
-/// All feeds of a healthy server break off because its agent's process was replaced: the list of the
-/// earlier process names flows that are open and well.
+/// Guards against resets of all flows of a healthy server after its agent's process was replaced:
+/// the checkpoint of the earlier process lists flows that are still open.
 #[test]
 fn flows_of_the_same_incarnation_are_left_alone() {
     let mut agent = agent();
@@ -85,8 +86,8 @@
     assert!(!actions.contains(&reset_of(flow(1), 700)), "{actions:?}");
 }
 
-/// A heartbeat of an earlier incarnation was held up by a cut and arrives first at a new process. It
-/// looks like another server, though the flows' own one is well.
+/// Guards against resets by a delayed heartbeat: the heartbeat of an earlier incarnation arrives
+/// first at a new process and looks like another server.
 #[test]
 fn a_late_heartbeat_of_an_older_incarnation_resets_nothing() {
     let mut agent = agent();
@@ -110,8 +111,8 @@
     assert_eq!(second, None);
 }
 
-/// A client ignores the reset of its lost flow: it has received more since the note than a reset's
-/// number may be off.
+/// Guards against resets that a client ignores: it has received more data since the checkpoint than
+/// the sequence number of a reset may be off.
 #[test]
 fn a_flow_that_has_moved_on_is_noted_again() {
     let mut agent = with_open_flow(0);
@@ -124,7 +125,8 @@
     assert_eq!(again.map(|list| list.flows), Some([(flow(1), 40_501)].into()));
 }
 
-/// With 16,000 agents a list each three seconds would take more than ten times what the store accepts.
+/// With 16,000 agents, a checkpoint every three seconds would exceed the store's write rate more
+/// than ten times.
 #[test]
 fn the_pause_between_lists_grows_with_the_fleet() {
     let mut agent = with_open_flow(0);
@@ -143,8 +145,8 @@
     assert_eq!([early, later, due], [false, false, true]);
 }
 
-/// A host lost power just after its clients had opened their flows. They were too young for the list, and
-/// filings on them were lost with a reset half a second later.
+/// Guards against the loss of recently opened flows: a power loss right after the opening would
+/// leave them out of the checkpoint.
 #[test]
 fn a_flow_that_was_just_opened_is_in_the_list() {
     let mut agent = with_open_flow(0);
@@ -157,8 +159,7 @@
     assert!(list.is_some_and(|list| list.flows.contains_key(&flow(2))));
 }
 
-/// Lists cost more than they gain: each new flow led to another write, though nine of ten flows were
-/// noted.
+/// Guards against a write for each new flow while nine of ten flows are in the checkpoint.
 #[test]
 fn one_new_flow_of_ten_is_not_worth_a_write() {
     let mut agent = with_open_flow(0);
--- a/crates/nutmegkeel_core/tests/l4/contended_agent.rs
+++ b/crates/nutmegkeel_core/tests/l4/contended_agent.rs
@@ -1,5 +1,5 @@
-//! An agent whose callers compete for room: what waits there, and how it is refused; and a balancer that hears
-//! of it.
+//! An agent whose callers compete for room: how requests wait there and are refused, and how a
+//! balancer reacts.
 
 use std::collections::VecDeque;
 
@@ -17,14 +17,14 @@
     identity, offer, opening, resets, roster, table, word,
 };
 
-/// Requests that the server is given before others wait: four slots and two ahead.
+/// Number of requests that the server gets before others wait: four slots and two queued.
 const FILL: u16 = 6;
 
 fn once(number: u8) -> Demand {
     Demand { once: true, ..idempotent(number) }
 }
 
-/// An agent whose server is warm and has all that it is given at once.
+/// An agent whose server is warm and has as many requests as it gets at once.
 fn busy(policy: Policy, now: u64) -> Agent {
     let mut agent = agent_with(policy);
     agent.handle(at(0), Event::Recovered(None));
@@ -53,7 +53,7 @@
     ask(agent, now, flow)
 }
 
-/// The server answers the request of this flow.
+/// Lets the server answer the request of this flow.
 fn answer(agent: &mut Agent, now: u64, flow: Flow) -> Vec<Action> {
     let head = data(flow, 501, 1_101);
     agent.handle(at(now), Event::FromServer(head))
@@ -92,8 +92,8 @@
     actions.iter().any(|action| matches!(action, Action::ToServer(0)))
 }
 
-/// A filing, which must run once, goes to the server's own queue behind all that is there, or is turned
-/// away there though it is the most urgent.
+/// Guards against the most urgent request going last: one that must run once would be queued at the
+/// server behind all others, or be rejected there.
 #[test]
 fn a_request_that_must_run_once_waits_and_goes_first_by_its_urgency() {
     let mut agent = busy(contention(&[]), 1_000);
@@ -106,8 +106,8 @@
     assert_eq!(released(&first), Some(flow(21)));
 }
 
-/// The time of a filing is over before a slot is free. The server has seen no packet of the flow after its
-/// opening, so the client is told by a reset, and may try again.
+/// The deadline passes before a slot is free. The server has seen no packet of the flow after its
+/// opening, so a reset shows that the request has not run, and the client may retry.
 #[test]
 fn a_request_that_must_run_once_is_refused_by_a_reset_while_the_flow_is_not_open() {
     let mut agent = busy(contention(&[]), 1_000);
@@ -123,8 +123,9 @@
     assert!(actions.iter().any(is_noted), "{actions:?}");
 }
 
-/// A filing of two packets is refused when its first comes. The second is on its way, the agent says that it
-/// does not hold the flow, and a balancer asks every other agent for it.
+/// Guards against searches for refused flows: the second packet of a refused request is already on
+/// its way. If the agent answered that it does not hold the flow, a balancer would ask all other
+/// agents.
 #[test]
 fn what_still_comes_of_a_refused_flow_is_answered_by_another_reset() {
     let mut agent = busy(contention(&[]), 1_000);
@@ -141,9 +142,9 @@
     assert_eq!(reset(&strange), None);
 }
 
-/// A client that was refused opens again from the same port, another server accepts it, and a balancer that does
-/// not know the flow asks this agent for it. The agent took the new flow for the refused one: its reset broke an
-/// open flow of a server that is well.
+/// Guards against breaking an open flow of another server: a refused client opens a new flow from
+/// the same port, another server accepts it, and a balancer that does not know the flow asks this
+/// agent.
 #[test]
 fn a_later_flow_between_the_same_ends_is_not_taken_for_the_refused_one() {
     let mut agent = busy(contention(&[]), 1_000);
@@ -156,7 +157,7 @@
     assert_eq!(reset(&actions), None, "{actions:?}");
 }
 
-/// On an open flow a reset would break what the server holds, and would not say that nothing has run.
+/// A reset would break an open flow that the server holds, and would not show that nothing has run.
 #[test]
 fn a_request_on_an_open_flow_is_never_reset() {
     let mut agent = busy(contention(&[]), 1_000);
@@ -172,8 +173,8 @@
     assert_eq!(reset(&actions), None, "{actions:?}");
 }
 
-/// A slow client's request comes when nobody waits for it any more, and passes all that wait by; under a load
-/// that makes many slow, the server's own queue fills with them.
+/// Guards against requests of slow clients that overtake all waiting ones: under load many are
+/// slow, and the server's own queue fills with them.
 #[test]
 fn a_request_that_comes_late_after_its_opening_waits_like_others() {
     let mut agent = busy(contention(&[]), 1_000);
@@ -192,7 +193,8 @@
     assert_eq!(released(&answer(&mut agent, 1_420, flow(31))), Some(flow(20)));
 }
 
-/// A client that cannot be served is let in, and refused when its time is over.
+/// Guards against clients that are admitted although they cannot be served, and refused only at
+/// their deadline.
 #[test]
 fn an_opening_that_cannot_be_served_is_declined() {
     let mut agent = busy(contention(&[]), 1_000);
@@ -210,8 +212,8 @@
     assert!(!is_declined_as_late(&taken), "{taken:?}");
 }
 
-/// A client that was refused for want of room comes back, the agent's queue is as full as before, and it is refused
-/// again. A return waits for as long as its deadline can be met, and is refused when it cannot.
+/// Guards against a client that is refused again with its retry, because the agent's queue is still
+/// full. A retry waits as long as its deadline can be met.
 #[test]
 fn a_return_is_not_refused_while_its_deadline_can_be_met() {
     let mut agent = busy(contention(&[]), 1_000);
@@ -237,9 +239,9 @@
     assert!(resets_flow(&over, flow(21)), "{over:?}");
 }
 
-/// A server becomes slow while it is full, or its agent starts again in a crowd. No request finds a slot free from
-/// then on, so the time of an answer stayed what it was before, and clients were let in whose deadline was sure to
-/// pass while they waited.
+/// Guards against admitting clients whose deadline is sure to pass: a server becomes slow while it
+/// is full, or its agent restarts under overload. No request finds a free slot then, so the known
+/// answer time stays too low.
 #[test]
 fn a_server_that_is_slow_and_full_is_not_taken_for_a_fast_one() {
     let mut agent = busy(contention(&[]), 1_000);
@@ -264,7 +266,7 @@
     assert!(is_declined_as_late(&declined), "{declined:?}");
 }
 
-/// Deployments that do not name contention, or have the mechanisms switched off, are served as before.
+/// Deployments without contention, or with its mechanisms switched off, behave alike.
 #[test]
 fn without_the_mechanisms_nothing_changes() {
     let neither = contention(&[Mechanism::Urgency, Mechanism::FairShares]);
@@ -288,8 +290,8 @@
     assert_eq!(order, [flow(20), flow(21)]);
 }
 
-/// Under an overload each opening asks eight agents that all say the same, and entry hosts with narrow links
-/// lose the packets of others.
+/// Guards against openings that ask eight agents with the same answer under overload, so that entry
+/// hosts with narrow links lose packets of other flows.
 #[test]
 fn an_opening_is_refused_after_two_agents_that_cannot_serve_it() {
     let asked = [contention(&[]), Policy::default()].map(|policy| {
--- a/crates/nutmegkeel_core/tests/l4/full_server.rs
+++ b/crates/nutmegkeel_core/tests/l4/full_server.rs
@@ -1,4 +1,4 @@
-//! Servers that break requests off because they are full, and those that are faulty.
+//! Servers that break requests off because they are full, as opposed to faulty ones.
 
 use nutmegkeel_core::l4::agent::{self, Agent};
 use nutmegkeel_core::l4::flow::Head;
@@ -8,7 +8,7 @@
 use crate::fixture::{agent_with, ask, at, data, demand, flow, heartbeat, open};
 use crate::room::{SLOTS, called_for};
 
-/// Breaks off the requests of these flows, one after the other.
+/// Breaks off the requests of these flows.
 fn break_off(agent: &mut Agent, now: u64, flows: impl Iterator<Item = u16>) {
     let mut reset = data(flow(1), 501, 1_101);
     reset.flags.rst = true;
@@ -18,7 +18,7 @@
     }
 }
 
-/// An agent whose server works on this many requests, each of which must run once.
+/// An agent whose server has this many requests, each of which must run once.
 fn agent_with_requests(policy: Policy, count: u16) -> Agent {
     let mut agent = agent_with(policy);
     agent.handle(at(0), agent::Event::Recovered(None));
@@ -30,8 +30,8 @@
     agent
 }
 
-/// A crowd fills a server's queue, and it breaks off what comes beyond. Taken for faulty, it is spared
-/// together with most of its peers, and the few that are left drown.
+/// Guards against an overload of the remaining servers: servers with full queues break further
+/// requests off, and are spared as faulty together with most of their peers.
 #[test]
 fn a_full_server_that_turns_requests_away_is_not_taken_for_faulty() {
     let mut by_room = agent_with_requests(called_for(), 20);
@@ -45,7 +45,7 @@
     assert_eq!(without.state(at(111)), State::Failing);
 }
 
-/// A faulty server breaks requests off as they come; it never has many.
+/// A faulty server breaks requests off as they arrive, so it never has many.
 #[test]
 fn a_server_that_breaks_requests_off_while_it_has_slots_is_faulty() {
     let mut agent = agent_with_requests(called_for(), SLOTS);
--- a/crates/nutmegkeel_core/tests/l4/mute.rs
+++ b/crates/nutmegkeel_core/tests/l4/mute.rs
@@ -1,4 +1,4 @@
-//! Backend servers that take requests and never answer.
+//! Backend servers that accept requests and never answer.
 
 use nutmegkeel_core::l4::agent::{Action, Agent, Event};
 use nutmegkeel_core::l4::flow::Flow;
@@ -6,14 +6,14 @@
 
 use crate::fixture::{agent, ask, at, data, demand, flow, heartbeat, open};
 
-/// Time of an answer while the server is well, in milliseconds.
+/// Response time of a healthy server, in milliseconds.
 const ANSWER_MS: u64 = 60;
 
 fn answer(agent: &mut Agent, now: u64, flow: Flow) {
     agent.handle(at(now), Event::FromServer(data(flow, 501, 1_101)));
 }
 
-/// Lets time pass in ticks, and returns what the agent did.
+/// Runs the ticks of a period; returns the agent's actions.
 fn pass(agent: &mut Agent, from_ms: u64, until_ms: u64) -> Vec<Action> {
     let ticks = (from_ms..=until_ms).step_by(100);
     ticks.flat_map(|now| agent.handle(at(now), Event::Tick)).collect()
@@ -43,7 +43,8 @@
     actions.iter().filter_map(reset).collect()
 }
 
-/// Two status checks and two filings go to a server that answers nothing from then on.
+/// Sends two requests that may run again and two that must run once to a server that answers
+/// nothing from then on.
 fn go_mute(agent: &mut Agent, now: u64) {
     for (port, once) in [(2, false), (3, false), (4, true), (5, true)] {
         open(agent, now, flow(port), demand(once));
@@ -51,8 +52,9 @@
     }
 }
 
-/// Status checks hang until their deadline on open flows: the server accepts, acknowledges and sends its
-/// heartbeats, but answers nothing. Told in time, their clients ask elsewhere. Filings may be running.
+/// Guards against clients that wait until their deadline on open flows of a server that accepts and
+/// acknowledges requests and sends heartbeats, but never answers. Requests that must run once may
+/// be running.
 #[test]
 fn clients_of_a_mute_server_are_told_while_there_is_time() {
     let mut agent = learnt(16);
@@ -66,8 +68,8 @@
     assert_eq!(agent.state(at(4_200)), State::Failing);
 }
 
-/// A status feed breaks off with a reset though its server is well: the server delivers documents in 5 ms and
-/// works on a status check for 50, rarely for 500, and two of those come together when nothing else does.
+/// Guards against the reset of a flow of a healthy server: it answers most requests in 5 ms and a
+/// few in 50 or 500 ms, and two of the long ones arrive together when there are no others.
 #[test]
 fn two_long_requests_among_short_ones_are_no_sign() {
     let mut agent = agent();
@@ -90,7 +92,8 @@
     assert_eq!(resets(&actions), Vec::new());
 }
 
-/// One filing of a client with a bad link lacks a packet for seconds; the server is well.
+/// A single request may lack a packet for seconds because of a bad link, while the server is
+/// healthy.
 #[test]
 fn one_request_that_waits_is_no_sign() {
     let mut agent = learnt(16);
@@ -103,7 +106,7 @@
     assert_eq!(agent.state(at(6_000)), State::Ready);
 }
 
-/// A server that became slow answers now and then; its clients keep their flows.
+/// A server that became slow still answers occasionally, and its clients keep their flows.
 #[test]
 fn a_slow_server_is_not_mute() {
     let mut agent = learnt(16);
@@ -122,8 +125,8 @@
     assert_eq!(resets(&actions), Vec::new());
 }
 
-/// All flows of a host are reset because its process stood still for two seconds: the answers that came
-/// meanwhile wait to be read.
+/// Guards against resets of all flows of a host whose process stalled for two seconds: the answers
+/// that arrived in that time have not been read yet.
 #[test]
 fn a_process_that_stood_still_judges_nobody() {
     let mut agent = learnt(16);
@@ -134,7 +137,8 @@
     assert_eq!(resets(&actions), Vec::new());
 }
 
-/// Flows of a cold server are reset after a restart: the agent knew no usual time yet.
+/// Guards against resets of flows of a cold server after a restart, when no usual time is known
+/// yet.
 #[test]
 fn a_server_whose_usual_time_is_not_known_is_not_judged() {
     let mut agent = learnt(15);
--- a/crates/nutmegkeel_core/tests/l4/overload.rs
+++ b/crates/nutmegkeel_core/tests/l4/overload.rs
@@ -1,4 +1,4 @@
-//! Replays the load of seconds in which more comes than can be served.
+//! Simulates some seconds of overload.
 
 use std::collections::BTreeMap;
 
@@ -11,11 +11,11 @@
     BALANCER, accepted, agent, at, data, demand, flow, heartbeat, offer, opening,
 };
 
-/// An answer within this is in time, in milliseconds.
+/// Time within which an answer is in time, in milliseconds.
 const AIM_MS: u64 = 400;
 
-/// Flows, and the pause between two requests of one: 60 requests a second, where the cold server
-/// answers 42 and the warm one 67.
+/// Number of flows, and interval between two requests of one: 60 requests per second, of which a
+/// cold server answers 42 and a warm one 67.
 const FLOWS: u16 = 60;
 const PAUSE_MS: u64 = 1_000;
 
@@ -24,7 +24,7 @@
     Demand { objective_ms, ..demand(once) }
 }
 
-/// The replay: an agent, its server, and who has asked since when.
+/// A simulation of an agent, its server and the requests on each flow.
 struct Replay {
     agent: Agent,
     server: Server,
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Each flow sends its next request a second after the last one, whatever became of that.
+    /// Runs the simulation. Each flow sends a request every second, whatever became of the one
+    /// before.
     fn run(&mut self, until_ms: u64) {
         for now in 400..until_ms {
             for port in 1..=FLOWS {
@@ -85,15 +86,17 @@
         }
     }
 
-    /// Requests sent while the server was cold whose answer was in time.
+    /// Returns the number of requests that were sent while the server was cold and answered in
+    /// time.
     fn in_time_while_cold(&self) -> usize {
         let in_time = |(asked, took): &&(u64, u64)| *asked < COLD_UNTIL_MS && *took <= AIM_MS;
         self.answers_ms.iter().filter(in_time).count()
     }
 }
 
-/// Feeds on open flows ask for two fifths more than a cold server can answer. In the server's own queue
-/// all of them soon wait longer than the aim; held back at the agent, the newest first, most do not.
+/// Guards against late answers on all open flows while the server is cold and gets two fifths more
+/// requests than it can answer. In the server's own queue most are late; at the agent, with the
+/// newest first, most are in time.
 #[test]
 fn requests_on_open_flows_are_in_time_while_servers_are_cold() {
     let mut held = Replay::open(feed(false));
--- a/crates/nutmegkeel_core/tests/l4/recovery.rs
+++ b/crates/nutmegkeel_core/tests/l4/recovery.rs
@@ -1,5 +1,5 @@
-//! Replays the seconds after a loss of power: hosts come back one after the other, all clients that
-//! waited come back at once, new requests go on coming, and backend servers are cold.
+//! Simulates the seconds after a power loss: hosts restart one after the other, all clients that
+//! waited return at once, new requests keep arriving, and backend servers are cold.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -17,30 +17,32 @@
     table,
 };
 
-/// Agents; the first is back at once, the last after 0.2 s.
+/// Number of agents, and time between their starts; the last one starts after 0.2 s.
 const AGENTS: u8 = 6;
 const AGENT_PAUSE_MS: u64 = 40;
 
-/// The balancer is back after so long, in milliseconds: two agents were there before it.
+/// Start of the balancer, in milliseconds; two agents start before it.
 const BALANCER_UP_MS: u64 = 60;
 
-/// Clients whose requests waited for the hosts' return.
+/// Number of clients whose requests waited for the restart of the hosts.
 const BACKLOG: u16 = 150;
 
-/// Pause between two new requests, in milliseconds: 200 a second, where six cold servers answer 255.
+/// Interval between two new requests, in milliseconds: 200 per second, of which six cold servers
+/// answer 255.
 const PAUSE_MS: u64 = 5;
 
-/// The replay ends after this, in milliseconds; the last new request comes one deadline before.
+/// End of the simulation, and time of the last new request, in milliseconds; one deadline lies
+/// between them.
 const END_MS: u64 = 3_000;
 const LAST_MS: u64 = 1_500;
 
-/// A message between two hosts takes so long, in milliseconds.
+/// Delay of a message between two hosts, in milliseconds.
 const DELAY_MS: u64 = 1;
 
-/// An answer within this is in time, in milliseconds.
+/// Time within which an answer is in time, in milliseconds.
 const OBJECTIVE_MS: u64 = 250;
 
-/// What is on its way.
+/// A packet or message in flight.
 enum Parcel {
     FromClient(Head),
     ToBalancer(Ipv4Addr, Message, Option<Head>),
@@ -48,7 +50,7 @@
     ToClient(Head),
 }
 
-/// A host beside a backend server.
+/// A host with a backend server.
 struct Host {
     agent: Option<Agent>,
     server: Server,
@@ -125,7 +127,8 @@
         }
     }
 
-    /// The backlog asks as soon as the balancer is there, the others one after the other.
+    /// Sends the openings of the backlog as soon as the balancer runs, and the others one after the
+    /// other.
     fn ask(&mut self, now: u64) {
         if now == BALANCER_UP_MS + 10 {
             for port in 1..=BACKLOG {
@@ -242,7 +245,7 @@
         }
     }
 
-    /// The server accepts an opening at once; a request waits for a slot.
+    /// Passes a packet to the server, which accepts an opening at once and queues a request.
     fn hand_to_server(&mut self, now: u64, number: usize, head: Option<Head>) {
         let head = head.expect("a packet is at hand");
         if head.opens() {
@@ -274,12 +277,12 @@
         }
     }
 
-    /// Clients of the backlog that got an answer.
+    /// Returns the number of clients of the backlog that got an answer.
     fn backlog_answered(&self) -> usize {
         self.answered.keys().filter(|flow| flow.client.port() <= BACKLOG).count()
     }
 
-    /// New requests answered in time, of those that came before `until_ms`.
+    /// Returns the number of new requests sent before `until_ms` that were answered in time.
     fn in_time(&self, until_ms: u64) -> usize {
         let asked = self.asked.iter().filter(|(_, asked)| **asked < until_ms);
         let took = asked.filter_map(|(flow, asked)| Some(self.answered.get(flow)? - asked));
@@ -293,9 +296,9 @@
     replay
 }
 
-/// Clients that ask after a loss of power are answered late, though servers could answer them at once:
-/// two servers are back before the balancer, which hears of them only with their next announcement, and
-/// all that comes meanwhile waits at the others.
+/// Guards against late answers after a power loss: two servers are back before the balancer, which
+/// learns of them only with their next announcement, so that all requests until then wait at the
+/// others.
 #[test]
 fn servers_that_are_back_before_the_balancer_are_used_at_once() {
     let (with, without) = (replay(&[]), replay(&[Mechanism::Introductions]));
@@ -306,9 +309,9 @@
     assert!(with > without, "{with} {without}");
 }
 
-/// The backlog of 150 requests that are late anyway is answered first, and makes those late that came
-/// after it: for as long as servers are cold they cannot work the backlog off. Nobody of it may be lost
-/// either, as happens when the first server to be back gets all of it.
+/// Guards against new requests that queue behind a backlog of 150 late ones, which cold servers
+/// cannot clear. The backlog must be answered too, although the first server that is back gets all
+/// of it.
 #[test]
 fn new_requests_do_not_queue_behind_the_backlog() {
     let with = replay(&[]);
--- a/crates/nutmegkeel_core/tests/l4/replica.rs
+++ b/crates/nutmegkeel_core/tests/l4/replica.rs
@@ -13,7 +13,8 @@
     BALANCER, DOMAIN, at, balancer, heartbeat, host, identity, revision, roster, word,
 };
 
-/// An agent at this address, beside a server, in a domain of so many agents, that hears of version 5.
+/// An agent at this address, with a server, in a domain with this number of agents, that knows of
+/// version 5.
 fn agent_of(address: Ipv4Addr, agents: u32, policy: Policy) -> Agent {
     let own = Identity {
         address,
@@ -68,8 +69,8 @@
     assert_eq!((older, newer), (false, true));
 }
 
-/// Each change is fetched by every agent of a large domain, sixty times the same text, and none of them
-/// needs it.
+/// Guards against sixty fetches of the same text at each change, by agents of a large domain that
+/// do not need it.
 #[test]
 fn a_few_agents_of_a_large_domain_hold_a_copy() {
     let holders = (1..=200)
@@ -86,8 +87,8 @@
     assert!(!fetches(&mut agent_of(host(1), 2, policy()), 3_050));
 }
 
-/// No new flow is placed for as long as the store is away, because all balancers were killed meanwhile: they
-/// know their agents and have no route.
+/// Guards against a loss of all new flows while the store is unavailable: all balancers were killed
+/// in that time, and after their restart they know agents but no routes.
 #[test]
 fn a_balancer_without_a_configuration_fetches_it_from_an_agent() {
     let word =
@@ -111,8 +112,8 @@
     assert!(fetches(&newer, host(2), 2), "{newer:?}");
 }
 
-/// A balancer that has the configuration again must not send work to an evacuated hall: the orders come
-/// from agents too.
+/// A balancer that gets the configuration from an agent must not place flows in an evacuated
+/// domain, so it also gets the orders from agents.
 #[test]
 fn an_agent_tells_its_orders_to_a_balancer_that_knows_none() {
     let orders = Orders { revision: revision(5), domains: [DOMAIN.into()].into() };
--- a/crates/nutmegkeel_core/tests/l4/server.rs
+++ b/crates/nutmegkeel_core/tests/l4/server.rs
@@ -3,8 +3,8 @@
 
 use crate::fixture::{at, heartbeat, heartbeat_of, incarnation};
 
-/// A server crashed behind a cut and another started at its address. The first one's heartbeat was
-/// held up and arrives late; believed, it would close the flows of the one that runs.
+/// Guards against the reset of flows of a running server: the server before it at this address
+/// crashed during a partition, and a heartbeat of that server arrives late.
 #[test]
 fn a_late_heartbeat_of_an_ended_incarnation_changes_nothing() {
     let mut beside = Beside::open(1_200);
@@ -54,9 +54,9 @@
     assert!(beside.server().is_some());
 }
 
-/// A server crashed and started again under its old id. Its counts begin anew, and its flows are gone.
-/// Taken for late words of the old start, its heartbeats would be ignored until the old count is
-/// passed: clients of its flows hang, and it gets no new ones once the old start counts as gone.
+/// Guards against ignoring a server that restarts with its old id: its sequence numbers start
+/// again, so its heartbeats look delayed. Clients of its earlier flows would wait, and it would get
+/// no new flows.
 #[test]
 fn a_server_back_under_its_old_id_is_a_new_incarnation_with_its_first_heartbeat() {
     let mut beside = Beside::open(1_200);
@@ -70,8 +70,8 @@
     assert!(server.seen_from_start);
 }
 
-/// A heartbeat of the earlier start was held up by a cut and arrives behind the new start's. Its count
-/// is higher; believed, it would end the flows of the server that runs.
+/// Guards against the reset of flows of a running server: a partition delayed a heartbeat of its
+/// earlier start, which has a higher sequence number.
 #[test]
 fn a_late_heartbeat_of_the_earlier_start_under_the_same_id_changes_nothing() {
     let mut beside = Beside::open(1_200);
@@ -84,8 +84,8 @@
     assert_eq!(beside.server().and_then(|server| server.incarnation.started_ms), Some(9_000));
 }
 
-/// The agent has restarted and never heard the earlier start. Several of its heartbeats were held up and
-/// come at once, the server that runs goes on with its own.
+/// A restarted agent does not know the earlier start. Several of its delayed heartbeats arrive at
+/// once, while the running server sends its own.
 #[test]
 fn late_heartbeats_of_an_earlier_start_never_heard_of_change_nothing() {
     let mut beside = Beside::open(1_200);
@@ -101,8 +101,8 @@
     assert_eq!(beside.server().and_then(|server| server.incarnation.started_ms), Some(9_000));
 }
 
-/// The host's time of day was set back before the server started again, so the new start has the
-/// smaller number. It must be believed within two seconds.
+/// The host's clock was set back before the server restarted, so the new start time is the earlier
+/// one. The new start must be accepted within two seconds.
 #[test]
 fn a_start_while_the_clock_is_set_back_is_believed_with_its_second_heartbeat() {
     let mut beside = Beside::open(1_200);
@@ -115,8 +115,8 @@
     assert_eq!(beside.server().and_then(|server| server.incarnation.started_ms), Some(7_000));
 }
 
-/// Something else writes a heartbeat of a service that this host's server is not of. The server goes on;
-/// believed, the word would end its flows and keep it without new ones until the writer is silent.
+/// Guards against the loss of a running server's flows when an unrelated process sends a heartbeat
+/// of another service.
 #[test]
 fn one_word_of_another_service_does_not_replace_a_server_that_goes_on() {
     let mut beside = Beside::open(1_200);
@@ -133,7 +133,7 @@
     assert_eq!(beside.server().map(|server| &*server.incarnation.id), Some("a"));
 }
 
-/// The farewell of the earlier start was held up; the server that runs has the same id.
+/// A deregistration of the earlier start was delayed; the running server has the same id.
 #[test]
 fn the_farewell_of_an_earlier_start_does_not_end_the_present_one() {
     let mut beside = Beside::open(1_200);
@@ -145,9 +145,9 @@
     assert!(beside.deregistered(&present));
 }
 
-/// A clerk's request on a flow that is gone waits for seconds after a loss of power. The server started a
-/// moment before its agent, sent two heartbeats that nobody took, and the agent, which hears the third, is
-/// not sure of what the server holds, though nobody can have passed a flow on to it.
+/// Guards against clients of lost flows that wait for seconds after a power loss: the server
+/// started shortly before its agent, which received only its third heartbeat. No earlier process
+/// can have received the others.
 #[test]
 fn a_server_whose_first_heartbeats_nobody_took_is_known_whole() {
     let mut beside = Beside::open(1_200);
@@ -157,8 +157,8 @@
     assert_eq!(beside.server().map(|server| server.seen_from_start), Some(true));
 }
 
-/// A feed breaks off with a reset because its server's agent, which has just been replaced, says that the
-/// flow is not here: the one before had acknowledged the server's first heartbeat and passed the flow on.
+/// Guards against the reset of an open flow by a replaced agent: the earlier process had received
+/// the server's first heartbeat and forwarded the flow to it.
 #[test]
 fn a_server_that_another_process_may_have_heard_is_not_known_whole() {
     let after_a_pause = heartbeat_of("a", 9_000, 2);
--- a/crates/nutmegkeel_core/tests/l4/speed.rs
+++ b/crates/nutmegkeel_core/tests/l4/speed.rs
@@ -5,8 +5,7 @@
 
 use crate::fixture::{BALANCER, DOMAIN, agent, ask, at, data, demand, flow, heartbeat, host, open};
 
-/// A meter of a server that has answered `answers` requests, each after `service_ms`, with all of its three
-/// slots at work.
+/// Records `answers` answers, each after `service_ms`, with all three slots of the server busy.
 fn full(meter: &mut Meter, from: u64, service_ms: u64, answers: u64) -> u64 {
     let mut now = from;
     meter.look(at(now), 3);
@@ -21,8 +20,8 @@
     now
 }
 
-/// A server becomes seven times slower and is always full: no request finds a free slot there, so a time learnt
-/// from those that do stays what it was.
+/// Guards against a slow server that goes undetected: it becomes seven times slower and is always
+/// full, so that no request finds a free slot from which its service time could be learned.
 #[test]
 fn a_server_that_is_never_free_shows_that_it_became_slow() {
     let mut meter = Meter::open(at(0));
@@ -58,7 +57,8 @@
     assert_eq!(meter.service_ms(), 0);
 }
 
-/// A server takes requests and answers none. By its last answers it would look as fast as before.
+/// Guards against a server that accepts requests and answers none, but looks fast by its last
+/// answers.
 #[test]
 fn a_mute_server_does_not_look_fast() {
     let mut meter = Meter::open(at(0));
@@ -88,7 +88,7 @@
     assert_eq!(meter.service_ms(), 0);
 }
 
-/// The agent's process stands still while the server answers. It must not take its own pause for work.
+/// A stall of the agent's own process must not count as work of the server.
 #[test]
 fn a_pause_of_the_agent_is_no_work() {
     let mut meter = Meter::open(at(0));
@@ -112,7 +112,7 @@
     Agent::open(at(0), identity, &[BALANCER])
 }
 
-/// Lets an agent's server answer `rounds` times four requests that came together, after `service_ms`.
+/// Lets an agent's server answer four simultaneous requests after `service_ms`, `rounds` times.
 fn serve(agent: &mut Agent, from: u64, service_ms: u64, rounds: u64) -> u64 {
     let mut now = from;
     let mut next = 1_001 + 100_000 * u32::try_from(from % 1_000).expect("a small number");
@@ -152,8 +152,8 @@
     assert_eq!(told, Some(service_ms));
 }
 
-/// Requests beyond the slots wait in the server's own queue. That is no work of a slot, or a burst would look like
-/// a slow server.
+/// Guards against a burst that makes a server look slow: requests beyond the slots wait in the
+/// server's own queue, which is no work of a slot.
 #[test]
 fn a_queue_at_the_server_is_no_work() {
     let mut agent = agent_that_tells();
@@ -210,8 +210,8 @@
     assert_eq!(agent.load().service_ms, 0);
 }
 
-/// A slow server is full, and requests that must run once do not wait at the agent: the server turns them away at
-/// once. Counted as answers, these made it look faster than its peers, and new flows came back to it.
+/// Guards against a slow server that looks fast because it is full: it rejects requests that must
+/// run once at once, and if these counted as answers, new flows would return to it.
 #[test]
 fn requests_that_a_full_server_turns_away_do_not_make_it_fast() {
     let mut agent = agent_that_tells();
