--- a/crates/nutmegkeel_core/src/l4/agent.rs
+++ b/crates/nutmegkeel_core/src/l4/agent.rs
@@ -25,18 +25,18 @@
 use replica::Replica;
 use request::Opening;
 
-use super::checkpoint::Keeper;
+use super::checkpoint::Recorder;
 use super::flow::{Flow, Head};
 use super::handover::{Handover, Step};
 use super::health::ANNOUNCE_MS;
 use super::message::{Load, Message, Reason, State};
 use super::mute;
 use super::note::{Cause, Note};
-use super::outlier::Record;
+use super::outlier;
 use super::policy::{Mechanism, Policy};
 use super::probe::Probes;
 use super::roster::{Book, TELL_MS};
-use super::server::Beside;
+use super::server::History;
 use super::share::Shares;
 use super::speed::Meter;
 use super::table::Table;
@@ -74,7 +74,7 @@
 pub struct Agent {
     identity: Identity,
     started: Time,
-    beside: Beside,
+    beside: History,
     balancers: Book,
     /// Balancers that changed since the last tick.
     balancers_changed: Turnover,
@@ -91,12 +91,12 @@
     meter: Meter,
     /// Whether the server was cold at the last tick.
     was_cold: bool,
-    record: Record,
-    mute: mute::Watch,
+    record: outlier::Detector,
+    mute: mute::Detector,
     unanswered_since: Option<Time>,
     unresponsive: bool,
     leaving: bool,
-    keeper: Keeper,
+    keeper: Recorder,
     handover: Handover,
     /// Last reported state of each balancer.
     words: Words,
@@ -126,10 +126,10 @@
         let mut words = Words::default();
         words.set_round(TELL_MS);
         Self {
-            beside: Beside::open(identity.heartbeat_ms),
+            beside: History::open(identity.heartbeat_ms),
             handover: Handover::default(),
             words,
-            keeper: Keeper::open(now, identity.checkpoints_per_s),
+            keeper: Recorder::open(now, identity.checkpoints_per_s),
             fleet: 0,
             evacuation: Standing::default(),
             replica: Replica::default(),
@@ -149,8 +149,8 @@
             pace: Pace::default(),
             meter: Meter::open(now),
             was_cold: false,
-            record: Record::default(),
-            mute: mute::Watch::open(now),
+            record: outlier::Detector::default(),
+            mute: mute::Detector::open(now),
             unanswered_since: None,
             unresponsive: false,
             leaving: false,
@@ -167,7 +167,8 @@
         let waiting = counted(self.waiting.len());
         // After a restart most requests arrive on flows that this process does not know yet. Not
         // counted, they fill the server while balancers consider it free.
-        let unknown = if self.uses(Mechanism::DomainBalance) { self.probes.requests() } else { 0 };
+        let unknown =
+            if self.uses(Mechanism::DomainBalance) { self.probes.unanswered_requests() } else { 0 };
         let busy = load.busy.saturating_add(waiting).saturating_add(counted(unknown));
         Load { busy, service_ms: self.service_ms(), ..load }
     }
@@ -204,7 +205,7 @@
 
     /// Returns whether a balancer has contacted this process.
     #[must_use]
-    pub fn hears_balancers(&self) -> bool {
+    pub fn has_balancer_contact(&self) -> bool {
         !self.acquainted.is_empty()
     }
 
@@ -228,10 +229,10 @@
             Event::Bounced(head) => self.bounced(now, &head),
             Event::Heartbeat(beat) => self.heartbeat(now, &beat),
             Event::Deregistered(leaving) => self.deregistered(now, &leaving),
-            Event::Roster(from, roster) => self.roster(now, from, &roster),
-            Event::Written(number) => {
-                self.keeper.note_number(number);
-                self.handover.written(number);
+            Event::Gossip(from, roster) => self.roster(now, from, &roster),
+            Event::FlowsSaved(number) => {
+                self.keeper.record_number(number);
+                self.handover.record_saved(number);
                 Vec::new()
             }
             Event::Listed(balancers) => self.listed(now, &balancers),
@@ -240,7 +241,7 @@
                 Vec::new()
             }
             Event::Recovered(checkpoint) => {
-                self.keeper.read(checkpoint);
+                self.keeper.apply_predecessor(checkpoint);
                 self.tell_lost(now)
             }
             Event::Leave => self.leave(now),
@@ -259,7 +260,7 @@
 
     fn carry(&mut self, now: Time, from: Ipv4Addr, head: &Head, known: bool) -> Vec<Action> {
         let flow = head.flow;
-        if self.table.takes(now, head) {
+        if self.table.holds(now, head) {
             let mut actions = self.take(now, head, from);
             if !known {
                 actions.push(Action::Send(from, Message::Holds { flow, load: self.load() }));
@@ -274,7 +275,7 @@
         if self.table.is_elsewhere(head) || self.is_certain(now) || self.probes.denied(now, &flow) {
             return vec![self.decline(from, Reason::NotHeld)];
         }
-        vec![Action::ToServer(self.probes.ask(now, flow, from, head.len > 0))]
+        vec![Action::ToServer(self.probes.insert_query(now, flow, from, head.len > 0))]
     }
 
     /// Reports whether the flow is here, or that only a packet of it can show this: either the
@@ -340,7 +341,7 @@
         let delegates = self.words.delegates(now, &self.identity.domain, None, patience_ms);
         let agents = self.agents_at_home(now);
         match self.handover.step(now, &delegates, self.reaches_store(now), agents)? {
-            Step::Deposit(balancer, list) => Some(Action::Send(balancer, Message::Deposit(list))),
+            Step::Delegate(balancer, list) => Some(Action::Send(balancer, Message::Deposit(list))),
             Step::Write(list) => Some(Action::Save(list)),
         }
     }
--- a/crates/nutmegkeel_core/src/l4/agent/answer.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/answer.rs
@@ -20,10 +20,10 @@
             self.table.adopt(now, head);
             actions.push(Action::Note(Note::Adopted { flow: head.flow }));
         }
-        if let Some(outcome) = self.table.note_server(now, head) {
+        if let Some(outcome) = self.table.record_server(now, head) {
             actions.extend(self.learn(now, outcome));
         }
-        if let Some(balancer) = self.probes.answered(&head.flow) {
+        if let Some(balancer) = self.probes.take_answered(&head.flow) {
             let message = Message::Holds { flow: head.flow, load: self.load() };
             actions.push(Action::Send(balancer, message));
         }
@@ -38,8 +38,8 @@
         let slots = self.beside.server().map_or(0, |server| usize::from(server.slots));
         match outcome {
             Outcome::Answered { after_ms, behind } => {
-                self.record.answered();
-                self.mute.answered(now);
+                self.record.record_answered();
+                self.mute.record_answer(now);
                 let found_slot = behind < slots;
                 self.note_answer(now, after_ms, found_slot);
                 if found_slot {
@@ -48,7 +48,7 @@
                 vec![Action::CountAnswer(after_ms)]
             }
             Outcome::Broken { behind }
-                if self.is_fault(behind, slots) && self.record.broken(now) =>
+                if self.is_fault(behind, slots) && self.record.record_broken(now) =>
             {
                 let mut actions = vec![self.changed(ServerChange::Failing)];
                 actions.extend(self.announce(now));
--- a/crates/nutmegkeel_core/src/l4/agent/event.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/event.rs
@@ -42,9 +42,9 @@
     /// The backend server deregistered.
     Deregistered(Incarnation),
     /// A balancer sent its state.
-    Roster(Ipv4Addr, Roster),
+    Gossip(Ipv4Addr, Roster),
     /// A balancer reported that the store has a checkpoint of this host with this number.
-    Written(u64),
+    FlowsSaved(u64),
     /// The list of balancers was read from the store.
     Listed(Vec<Ipv4Addr>),
     /// A copy of the configuration of this version was fetched from a balancer.
--- a/crates/nutmegkeel_core/src/l4/agent/request.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/request.rs
@@ -131,7 +131,7 @@
             if begun.is_some() {
                 self.note_received(now, head.flow);
             }
-            self.table.note_client(now, head);
+            self.table.record_client(now, head);
             return vec![Action::ToServer(0)];
         };
         let (flow, since, request) = (head.flow, now, Some(*head));
@@ -148,18 +148,18 @@
         if head.flags.rst || (head.flags.fin && !is_request) {
             self.waiting.remove(&head.flow);
             self.table.set_waiting(head.flow, false);
-            self.table.note_client(now, head);
+            self.table.record_client(now, head);
             return vec![Action::Forget(head.flow), Action::ToServer(0)];
         }
         if !is_request && self.table.is_open(&head.flow) {
-            self.table.note_client(now, head);
+            self.table.record_client(now, head);
             return vec![Action::ToServer(0)];
         }
-        self.table.note_waiting(now, head);
+        self.table.record_waiting(now, head);
         if is_request && !self.waiting.note_request(head) && !self.wait_again(now, head) {
             // The request came so long after its opening that it has lost its place in the queue.
             self.table.admit(now, head.flow);
-            self.table.note_client(now, head);
+            self.table.record_client(now, head);
             return vec![Action::ToServer(0)];
         }
         let note = Note::Kept { flow: head.flow, cause: Cause::AllBusy };
@@ -206,7 +206,7 @@
     /// Passes a request that waited to the server.
     pub(super) fn let_go(&mut self, now: Time, waiting: &Waiting, request: &Head) -> Vec<Action> {
         self.table.admit(now, waiting.flow);
-        self.table.note_client(now, request);
+        self.table.record_client(now, request);
         self.note_received(now, waiting.flow);
         let (urgency, waited_ms) = (waiting.demand.urgency, now.since(waiting.since));
         vec![Action::CountWait { urgency, waited_ms }, Action::Release(waiting.flow)]
--- a/crates/nutmegkeel_core/src/l4/agent/speed.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/speed.rs
@@ -13,7 +13,7 @@
     pub(super) fn measure(&mut self, now: Time) {
         let slots = self.beside.server().map_or(0, |server| u64::from(server.slots));
         let at_server = u64::try_from(self.table.working()).unwrap_or(u64::MAX);
-        self.meter.look(now, at_server.min(slots));
+        self.meter.record_working(now, at_server.min(slots));
     }
 
     /// Records an answer to a request that did or did not find a free slot.
@@ -22,7 +22,7 @@
     /// queue, and each rejection would count as a request served in no time.
     pub(super) fn note_answer(&mut self, now: Time, after_ms: u64, found_slot: bool) {
         if found_slot || after_ms > TURNED_AWAY_MS {
-            self.meter.answered(now);
+            self.meter.record_answer(now);
         }
     }
 
--- a/crates/nutmegkeel_core/src/l4/agent/standing.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/standing.rs
@@ -8,7 +8,7 @@
 use crate::l4::message::Message;
 use crate::l4::note::{Cause, Note, ServerChange};
 use crate::l4::policy::Mechanism;
-use crate::l4::server::{Heard, Heartbeat, Incarnation};
+use crate::l4::server::{Heartbeat, Incarnation, Update};
 
 /// Time without an answer to any opening after which the backend server gets no more, in
 /// milliseconds. A server answers within a millisecond. The client's first copy, 200 ms after the
@@ -31,16 +31,16 @@
         let heard = self.beside.heartbeat(now, beat);
         let mut actions = Vec::new();
         match heard {
-            Heard::Stale => return actions,
-            Heard::Contested => {
+            Update::Stale => return actions,
+            Update::Contested => {
                 actions.push(self.changed(ServerChange::Contested));
                 actions.extend(self.announce(now));
                 return actions;
             }
-            Heard::Same => {}
-            Heard::Draining => actions.push(self.changed(ServerChange::Draining)),
-            Heard::First => actions.push(self.changed(ServerChange::Started)),
-            Heard::Replaced => {
+            Update::Unchanged => {}
+            Update::Draining => actions.push(self.changed(ServerChange::Draining)),
+            Update::First => actions.push(self.changed(ServerChange::Started)),
+            Update::Replaced => {
                 self.record.clear();
                 self.meter.clear();
                 let ended = self.table.take_silent(now, ALIVE_MS);
@@ -55,7 +55,7 @@
         self.unanswered_since = None;
         self.deserted = false;
         actions.extend(self.responsive(now));
-        if heard != Heard::Same || was_contested {
+        if heard != Update::Unchanged || was_contested {
             actions.extend(self.announce(now));
         }
         actions
@@ -136,7 +136,7 @@
     /// running.
     pub(super) fn notice_mute(&mut self, now: Time) -> Vec<Action> {
         let outstanding = self.table.outstanding();
-        let limit = self.mute.look(now, outstanding, self.pace.most_us());
+        let limit = self.mute.check(now, outstanding, self.pace.most_us());
         let Some(limit) = limit.filter(|_| self.uses(Mechanism::Mute)) else {
             return Vec::new();
         };
--- a/crates/nutmegkeel_core/src/l4/checkpoint.rs
+++ b/crates/nutmegkeel_core/src/l4/checkpoint.rs
@@ -20,7 +20,7 @@
 /// Minimum interval between two writes, in milliseconds. A checkpoint is a few seconds old on
 /// average when it is needed. A client whose flow is not in it learns of the loss half a second
 /// later.
-pub const PAUSE_MS: u64 = 3_000;
+pub const MIN_INTERVAL_MS: u64 = 3_000;
 
 /// Share of the flows, in percent, that must be missing from the last checkpoint or out of date in
 /// it before it is written again. A higher share leaves many clients without a reset; a lower one
@@ -68,7 +68,7 @@
 
 /// Decides when a checkpoint is written, and which flows of the predecessor's checkpoint are lost.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct Recorder {
     started: Time,
     before: Before,
     saved: Checkpoint,
@@ -78,7 +78,7 @@
     writes_per_s: u64,
 }
 
-impl Keeper {
+impl Recorder {
     /// Creates a recorder for a process that starts now. All agents together may write
     /// `writes_per_s` checkpoints per second.
     #[must_use]
@@ -94,9 +94,9 @@
     }
 
     /// Applies the predecessor's checkpoint; `None` if there is none.
-    pub fn read(&mut self, checkpoint: Option<Checkpoint>) {
+    pub fn apply_predecessor(&mut self, checkpoint: Option<Checkpoint>) {
         if let Some(checkpoint) = &checkpoint {
-            self.note_number(checkpoint.number);
+            self.record_number(checkpoint.number);
         }
         if matches!(self.before, Before::Unread) {
             self.before = checkpoint.map_or(Before::Done, Before::Read);
@@ -131,7 +131,7 @@
         flows: impl Iterator<Item = (Flow, u32)>,
     ) -> Option<Checkpoint> {
         self.give_up_reading(now);
-        let pause_ms = PAUSE_MS.max(agents * 1_000 / self.writes_per_s);
+        let pause_ms = MIN_INTERVAL_MS.max(agents * 1_000 / self.writes_per_s);
         if !matches!(self.before, Before::Done) || now.since(self.saved_at) < pause_ms {
             return None;
         }
@@ -159,7 +159,7 @@
     }
 
     /// Records the number of a checkpoint in the store; the next one gets a higher number.
-    pub fn note_number(&mut self, number: u64) {
+    pub fn record_number(&mut self, number: u64) {
         self.number = self.number.max(number);
     }
 
--- a/crates/nutmegkeel_core/src/l4/handover.rs
+++ b/crates/nutmegkeel_core/src/l4/handover.rs
@@ -17,7 +17,7 @@
 
 /// Maximum number of flows in a checkpoint that fits into one datagram: 21 bytes each in two
 /// kilobytes. The agent writes a longer one itself, because every balancer would drop it.
-pub const LONGEST: usize = 80;
+pub const MAX_FLOWS: usize = 80;
 
 /// Maximum time for which a checkpoint waits at a balancer for others to be written with it, in
 /// milliseconds. Each agent writes one every 3 s, so in a failure domain of 27 agents a call writes
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Send it to a balancer.
-    Deposit(Ipv4Addr, Checkpoint),
+    Delegate(Ipv4Addr, Checkpoint),
     /// Write it with a call of the agent's own.
     Write(Checkpoint),
 }
@@ -68,7 +68,7 @@
     ) -> Option<Step> {
         let list = self.list.as_ref()?;
         let is_away = !delegates.is_empty() && !reaches_store;
-        if list.flows.len() > LONGEST || (!gathers(agents) && !is_away) {
+        if list.flows.len() > MAX_FLOWS || (!gathers(agents) && !is_away) {
             return self.list.take().map(Step::Write);
         }
         let is_asked = !self.asked.is_empty();
@@ -85,13 +85,13 @@
         };
         self.asked.push(*next);
         self.asked_at = now;
-        Some(Step::Deposit(*next, list.clone()))
+        Some(Step::Delegate(*next, list.clone()))
     }
 
     /// Records that the store has a checkpoint with this number. If the number is higher than that
     /// of the pending one, a process of this host with a clock ahead of this one's wrote it, and
     /// the pending one gets the next number.
-    pub fn written(&mut self, number: u64) {
+    pub fn record_saved(&mut self, number: u64) {
         let Some(list) = &mut self.list else {
             return;
         };
@@ -112,5 +112,5 @@
 /// second checkpoint. It saves no call, makes each checkpoint a second older, and is one more
 /// process whose failure costs checkpoints.
 const fn gathers(agents: u64) -> bool {
-    agents * GATHER_MS >= 2 * checkpoint::PAUSE_MS
+    agents * GATHER_MS >= 2 * checkpoint::MIN_INTERVAL_MS
 }
--- a/crates/nutmegkeel_core/src/l4/health.rs
+++ b/crates/nutmegkeel_core/src/l4/health.rs
@@ -29,7 +29,7 @@
 
 /// Time without a summary that lists an agent of another failure domain, after which the agent gets
 /// no new flows, in milliseconds: three summaries and some delay.
-pub const OUT_OF_SIGHT_MS: u64 = 3 * SUMMARY_MS + 100;
+pub const UNREPORTED_MS: u64 = 3 * SUMMARY_MS + 100;
 
 /// Time without a summary after which an agent of another failure domain is considered lost, in
 /// milliseconds. If the balancers of its domain were killed, they are back within seconds; if they
--- a/crates/nutmegkeel_core/src/l4/mute.rs
+++ b/crates/nutmegkeel_core/src/l4/mute.rs
@@ -50,13 +50,13 @@
 
 /// Detects a mute server.
 #[derive(Debug)]
-pub struct Watch {
+pub struct Detector {
     answered: Time,
     answers: u32,
     looked: Time,
 }
 
-impl Watch {
+impl Detector {
     /// Creates a detector that starts now.
     #[must_use]
     pub const fn open(now: Time) -> Self {
@@ -64,14 +64,14 @@
     }
 
     /// Records that the server answered a request.
-    pub const fn answered(&mut self, now: Time) {
+    pub const fn record_answer(&mut self, now: Time) {
         self.answered = now;
         self.answers = self.answers.saturating_add(1);
     }
 
     /// Returns a limit if the server is mute: requests sent to it before this time have waited too
     /// long and must be given up. `most_us` is the time that nearly every request takes.
-    pub fn look(&mut self, now: Time, outstanding: Outstanding, most_us: u64) -> Option<Time> {
+    pub fn check(&mut self, now: Time, outstanding: Outstanding, most_us: u64) -> Option<Time> {
         let stood_still = now.since(self.looked) > STANDSTILL_MS;
         self.looked = now;
         if stood_still {
--- a/crates/nutmegkeel_core/src/l4/outlier.rs
+++ b/crates/nutmegkeel_core/src/l4/outlier.rs
@@ -25,7 +25,7 @@
 
 /// Recent outcomes of one backend server, and whether it is spared.
 #[derive(Debug, Default)]
-pub struct Record {
+pub struct Detector {
     /// One bit for each outcome, the newest in the lowest bit; set if the request was broken off.
     outcomes: u16,
     answered_in_a_row: u32,
@@ -33,9 +33,9 @@
     until: Option<Time>,
 }
 
-impl Record {
+impl Detector {
     /// Records a request that was answered.
-    pub fn answered(&mut self) {
+    pub fn record_answered(&mut self) {
         self.outcomes <<= 1;
         self.answered_in_a_row += 1;
         if self.answered_in_a_row >= CLEARED {
@@ -45,7 +45,7 @@
 
     /// Records a request that was broken off; returns whether the server is spared from now on
     /// because of it.
-    pub fn broken(&mut self, now: Time) -> bool {
+    pub fn record_broken(&mut self, now: Time) -> bool {
         const { assert!(WINDOW == u16::BITS, "the outcomes fill their bits") };
         self.outcomes = self.outcomes << 1 | 1;
         self.answered_in_a_row = 0;
--- a/crates/nutmegkeel_core/src/l4/placement/signs.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/signs.rs
@@ -7,7 +7,7 @@
 use super::Pool;
 use super::candidate::{Candidate, Sight};
 use crate::clock::Time;
-use crate::l4::health::{FORGET_MS, Health, LOST_MS, OUT_OF_SIGHT_MS};
+use crate::l4::health::{FORGET_MS, Health, LOST_MS, UNREPORTED_MS};
 use crate::l4::message::Load;
 
 /// An agent that has announced itself no more often than this has started within one to three seconds:
@@ -27,7 +27,7 @@
         }
         let until = candidate.heard.max(candidate.seen);
         match now.since(until) {
-            0..=OUT_OF_SIGHT_MS => Sight { until, is_blind: false },
+            0..=UNREPORTED_MS => Sight { until, is_blind: false },
             blind_ms if blind_ms <= LOST_MS => Sight { until, is_blind: true },
             _ => Sight { until: now, is_blind: false },
         }
--- a/crates/nutmegkeel_core/src/l4/placement/uneven.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/uneven.rs
@@ -13,9 +13,9 @@
 use super::Pool;
 use super::candidate::Candidate;
 use crate::clock::Time;
-use crate::l4::health::{Health, OUT_OF_SIGHT_MS};
+use crate::l4::health::{Health, UNREPORTED_MS};
 use crate::l4::route::Service;
-use crate::l4::speed::LONGEST_MS;
+use crate::l4::speed::MAX_WINDOW_MS;
 
 /// A server counts as slow from this part of its peers' time on, in percent: one that takes twice the usual
 /// time still answers within an objective, and a chance run of long requests stays below.
@@ -39,7 +39,7 @@
 const ONE_IN: usize = 3;
 
 /// A load older than this tells nothing of the present, in milliseconds.
-const STALE_MS: u64 = OUT_OF_SIGHT_MS;
+const STALE_MS: u64 = UNREPORTED_MS;
 
 /// By how much more a server counts as slow that did before, in percent. Guards against two servers that take
 /// turns at the last place which the limit leaves.
@@ -153,7 +153,7 @@
     fn compared(&self, now: Time) -> Option<u16> {
         let is_fresh = now.since(self.load_heard) <= STALE_MS;
         let service_ms = self.load.service_ms;
-        let is_known = service_ms > 0 && u64::from(service_ms) <= LONGEST_MS;
+        let is_known = service_ms > 0 && u64::from(service_ms) <= MAX_WINDOW_MS;
         (is_fresh && is_known && !self.announcement.cold).then_some(service_ms)
     }
 
--- a/crates/nutmegkeel_core/src/l4/probe.rs
+++ b/crates/nutmegkeel_core/src/l4/probe.rs
@@ -59,7 +59,7 @@
     }
 
     /// Like [`Self::insert`], for a balancer that queries whether the server holds the flow.
-    pub fn ask(&mut self, now: Time, flow: Flow, from: Ipv4Addr, is_request: bool) -> u32 {
+    pub fn insert_query(&mut self, now: Time, flow: Flow, from: Ipv4Addr, is_request: bool) -> u32 {
         let before = self.asked.get(&flow).map_or(0, |question| question.requests);
         let requests = before + u32::from(is_request);
         self.asked.insert(flow, Question { from, requests, at: now });
@@ -69,7 +69,7 @@
     /// Returns the number of flows that the server may hold and on which it has not answered a
     /// request yet.
     #[must_use]
-    pub fn requests(&self) -> usize {
+    pub fn unanswered_requests(&self) -> usize {
         self.asked.values().filter(|question| question.requests > 0).count()
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Returns the balancer that queried a flow which the server has shown to hold.
-    pub fn answered(&mut self, flow: &Flow) -> Option<Ipv4Addr> {
+    pub fn take_answered(&mut self, flow: &Flow) -> Option<Ipv4Addr> {
         self.asked.remove(flow).map(|question| question.from)
     }
 
--- a/crates/nutmegkeel_core/src/l4/server.rs
+++ b/crates/nutmegkeel_core/src/l4/server.rs
@@ -50,7 +50,7 @@
 
 /// What a heartbeat changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Update {
     /// The first heartbeat that this process received. The server may already hold flows.
     First,
     /// A new incarnation runs; the flows of the earlier one are gone.
@@ -58,7 +58,7 @@
     /// The server accepts no new flows from now on.
     Draining,
     /// Nothing changed.
-    Same,
+    Unchanged,
     /// Either a new incarnation runs, or the heartbeat was delayed or comes from another sender.
     /// The next heartbeat decides.
     Contested,
@@ -84,7 +84,7 @@
     /// Sequence number of the last heartbeat.
     pub seq: u64,
     /// When the last heartbeat arrived.
-    pub heard: Time,
+    pub last_seen: Time,
     /// Whether no earlier process can have received a heartbeat of this incarnation, so that this
     /// process has seen every flow that the server accepted.
     pub seen_from_start: bool,
@@ -100,7 +100,7 @@
             warm_at: now.after(beat.warmup_ms),
             first_seq: beat.seq,
             seq: beat.seq,
-            heard: now,
+            last_seen: now,
             seen_from_start: is_first,
         }
     }
@@ -116,7 +116,7 @@
 
 /// The current incarnation of a backend server and its earlier ones.
 #[derive(Debug)]
-pub struct Beside {
+pub struct History {
     heartbeat_ms: u64,
     server: Option<Server>,
     rival: Option<Rival>,
@@ -124,7 +124,7 @@
     retired: BTreeMap<Incarnation, u64>,
 }
 
-impl Beside {
+impl History {
     /// Creates a history without a known server. Heartbeats are expected about every
     /// `heartbeat_ms`.
     #[must_use]
@@ -149,12 +149,12 @@
     }
 
     /// Applies a heartbeat.
-    pub fn heartbeat(&mut self, now: Time, beat: &Heartbeat) -> Heard {
+    pub fn heartbeat(&mut self, now: Time, beat: &Heartbeat) -> Update {
         if let Some(server) =
             self.server.as_mut().filter(|server| server.incarnation == beat.incarnation)
         {
             let heard = repeat(server, now, beat);
-            if heard != Heard::Stale {
+            if heard != Update::Stale {
                 self.rival = None;
             }
             return heard;
@@ -163,7 +163,7 @@
             return self.reconsider(now, beat, *last);
         }
         if self.is_doubtful(beat) && !self.shows_life(now, beat) {
-            return Heard::Contested;
+            return Update::Contested;
         }
         self.replace(now, beat)
     }
@@ -193,7 +193,7 @@
     #[must_use]
     pub fn is_overdue(&self, now: Time) -> bool {
         let limit = self.heartbeat_ms * MISSING_PERCENT / 100;
-        self.server.as_ref().is_some_and(|server| now.since(server.heard) > limit)
+        self.server.as_ref().is_some_and(|server| now.since(server.last_seen) > limit)
     }
 
     /// Applies a heartbeat of an ended incarnation. The incarnation becomes current again only if
@@ -201,11 +201,11 @@
     ///
     /// Guards against a heartbeat that is delayed until its sender has crashed and another server
     /// has started at the same address: applying it would reset the flows of the new server.
-    fn reconsider(&mut self, now: Time, beat: &Heartbeat, last: u64) -> Heard {
+    fn reconsider(&mut self, now: Time, beat: &Heartbeat, last: u64) -> Update {
         if beat.seq > last && (self.server.is_none() || self.is_overdue(now)) {
             self.replace(now, beat)
         } else {
-            Heard::Stale
+            Update::Stale
         }
     }
 
@@ -237,7 +237,7 @@
         false
     }
 
-    fn replace(&mut self, now: Time, beat: &Heartbeat) -> Heard {
+    fn replace(&mut self, now: Time, beat: &Heartbeat) -> Update {
         let is_first = self.retired.is_empty() && self.server.is_none();
         if let Some(old) = self.server.take() {
             self.retire(&old);
@@ -245,7 +245,7 @@
         self.retired.remove(&beat.incarnation);
         self.rival = None;
         self.server = Some(Server::new(now, beat, self.is_first_heard(now, beat)));
-        if is_first { Heard::First } else { Heard::Replaced }
+        if is_first { Update::First } else { Update::Replaced }
     }
 
     /// Returns whether no earlier process can have received a heartbeat of this incarnation, and so
@@ -275,15 +275,15 @@
     }
 }
 
-fn repeat(server: &mut Server, now: Time, beat: &Heartbeat) -> Heard {
+fn repeat(server: &mut Server, now: Time, beat: &Heartbeat) -> Update {
     if beat.seq <= server.seq {
-        return Heard::Stale;
+        return Update::Stale;
     }
     let starts_draining = beat.draining && !server.draining;
     server.seq = beat.seq;
-    server.heard = now;
+    server.last_seen = now;
     server.slots = beat.slots;
     server.draining = beat.draining;
     server.warm_at = now.after(beat.warmup_ms);
-    if starts_draining { Heard::Draining } else { Heard::Same }
+    if starts_draining { Update::Draining } else { Update::Unchanged }
 }
--- a/crates/nutmegkeel_core/src/l4/speed.rs
+++ b/crates/nutmegkeel_core/src/l4/speed.rs
@@ -26,7 +26,7 @@
 
 /// Maximum length of the window, in milliseconds, and upper limit of the service time. Clients have
 /// given up by then, so a slower server might as well never answer.
-pub const LONGEST_MS: u64 = 10_000;
+pub const MAX_WINDOW_MS: u64 = 10_000;
 
 /// Length of the spans over which work is summed, in milliseconds. It bounds the memory of a meter.
 const SPAN_MS: u64 = 50;
@@ -52,7 +52,7 @@
     fn service_ms(self) -> u64 {
         let answers = self.answers.max(1);
         let service_ms = (self.slot_ms + answers / 2) / answers;
-        service_ms.clamp(1, LONGEST_MS)
+        service_ms.clamp(1, MAX_WINDOW_MS)
     }
 
     const fn minus(self, other: Self) -> Self {
@@ -92,12 +92,12 @@
     }
 
     /// Records an answer.
-    pub fn answered(&mut self, now: Time) {
+    pub fn record_answer(&mut self, now: Time) {
         self.add(now, Work { slot_ms: 0, answers: 1 });
     }
 
     /// Records the number of slots that are busy from now on.
-    pub fn look(&mut self, now: Time, working: u64) {
+    pub fn record_working(&mut self, now: Time, working: u64) {
         let passed_ms = now.since(self.looked);
         if passed_ms > STANDSTILL_MS {
             self.clear();
@@ -115,7 +115,7 @@
     /// answers: by its earlier answers it would still look fast.
     #[must_use]
     pub fn service_ms(&self) -> u16 {
-        if self.total.answers < ANSWERS && self.total.slot_ms < LONGEST_MS {
+        if self.total.answers < ANSWERS && self.total.slot_ms < MAX_WINDOW_MS {
             return 0;
         }
         let service_ms = self.total.service_ms();
@@ -147,7 +147,7 @@
     /// Removes spans that are too old, and then the oldest answers with the work before them while
     /// the rest is enough.
     fn forget(&mut self, now: Time) {
-        while self.spans.front().is_some_and(|oldest| now.since(oldest.began) > LONGEST_MS) {
+        while self.spans.front().is_some_and(|oldest| now.since(oldest.began) > MAX_WINDOW_MS) {
             self.drop_oldest(1);
         }
         while let Some(first) = self.spans.iter().position(|span| span.work.answers > 0)
--- a/crates/nutmegkeel_core/src/l4/table.rs
+++ b/crates/nutmegkeel_core/src/l4/table.rs
@@ -108,7 +108,7 @@
     }
 
     /// Records a client's packet that does not go to the server yet.
-    pub fn note_waiting(&mut self, now: Time, head: &Head) {
+    pub fn record_waiting(&mut self, now: Time, head: &Head) {
         self.update(head.flow, |held| {
             held.used = now;
             held.client_ack = head.ack;
@@ -131,7 +131,7 @@
     /// Returns whether a client's packet belongs to a flow that the server holds. If two servers
     /// accepted the opening, the flow is at the one whose sequence number the client acknowledges.
     #[must_use]
-    pub fn takes(&self, now: Time, head: &Head) -> bool {
+    pub fn holds(&self, now: Time, head: &Head) -> bool {
         let Some(held) = self.flows.get(&head.flow) else {
             return false;
         };
@@ -143,7 +143,7 @@
     }
 
     /// Records a client's packet that goes to the server.
-    pub fn note_client(&mut self, now: Time, head: &Head) {
+    pub fn record_client(&mut self, now: Time, head: &Head) {
         let behind = self.load.busy;
         self.update(head.flow, |held| {
             held.stage = Stage::Open;
@@ -162,7 +162,7 @@
     }
 
     /// Records a server's packet; returns the outcome of a request that it answers or breaks off.
-    pub fn note_server(&mut self, now: Time, head: &Head) -> Option<Outcome> {
+    pub fn record_server(&mut self, now: Time, head: &Head) -> Option<Outcome> {
         let mut outcome = None;
         self.update(head.flow, |held| {
             held.used = now;
--- a/crates/nutmegkeel_core/tests/l4/agent.rs
+++ b/crates/nutmegkeel_core/tests/l4/agent.rs
@@ -475,7 +475,7 @@
 fn an_agent_goes_on_speaking_to_a_balancer_that_leaves() {
     let mut agent = serving();
     let roster = Roster { leaving: true, ..roster(1, &[], 1) };
-    agent.handle(at(1_000), Event::Roster(BALANCER, roster));
+    agent.handle(at(1_000), Event::Gossip(BALANCER, roster));
 
     let actions = agent.handle(at(1_400), Event::Tick);
 
@@ -630,9 +630,9 @@
     let again = announced(&agent.handle(at(200), Event::Tick));
     let balancers = vec![BALANCER];
     let roster = roster(1, &balancers, 1);
-    agent.handle(at(210), Event::Roster(BALANCER, roster.clone()));
+    agent.handle(at(210), Event::Gossip(BALANCER, roster.clone()));
     let acquainted = announced(&agent.handle(at(300), Event::Tick));
-    agent.handle(at(310), Event::Roster(BALANCER, Roster { leaving: true, ..roster }));
+    agent.handle(at(310), Event::Gossip(BALANCER, Roster { leaving: true, ..roster }));
     let leaving = announced(&agent.handle(at(400), Event::Tick));
 
     assert_eq!((early, again, acquainted, leaving), (true, true, false, true));
--- a/crates/nutmegkeel_core/tests/l4/checkpoint.rs
+++ b/crates/nutmegkeel_core/tests/l4/checkpoint.rs
@@ -1,5 +1,5 @@
 use nutmegkeel_core::l4::agent::{Action, Agent, Event};
-use nutmegkeel_core::l4::checkpoint::{Checkpoint, PAUSE_MS};
+use nutmegkeel_core::l4::checkpoint::{Checkpoint, MIN_INTERVAL_MS};
 use nutmegkeel_core::l4::flow::Flow;
 
 use crate::fixture::{BALANCER, accepted, agent, at, data, flow, heartbeat, incarnation, roster};
@@ -103,8 +103,8 @@
     let mut agent = with_open_flow(0);
     let early = saved(agent.handle(at(900), Event::Tick));
 
-    let first = saved(agent.handle(at(PAUSE_MS + 100), Event::Tick));
-    let second = saved(agent.handle(at(2 * PAUSE_MS + 200), Event::Tick));
+    let first = saved(agent.handle(at(MIN_INTERVAL_MS + 100), Event::Tick));
+    let second = saved(agent.handle(at(2 * MIN_INTERVAL_MS + 200), Event::Tick));
 
     assert_eq!(early, None);
     assert_eq!(first.map(|list| list.flows), Some([(flow(1), 501)].into()));
@@ -116,11 +116,11 @@
 #[test]
 fn a_flow_that_has_moved_on_is_noted_again() {
     let mut agent = with_open_flow(0);
-    agent.handle(at(PAUSE_MS + 100), Event::Tick);
+    agent.handle(at(MIN_INTERVAL_MS + 100), Event::Tick);
     let head = data(flow(1), 1_101, 501 + 40_000);
-    agent.handle(at(PAUSE_MS + 200), Event::Carry { from: BALANCER, head, known: true });
+    agent.handle(at(MIN_INTERVAL_MS + 200), Event::Carry { from: BALANCER, head, known: true });
 
-    let again = saved(agent.handle(at(2 * PAUSE_MS + 200), Event::Tick));
+    let again = saved(agent.handle(at(2 * MIN_INTERVAL_MS + 200), Event::Tick));
 
     assert_eq!(again.map(|list| list.flows), Some([(flow(1), 40_501)].into()));
 }
@@ -131,7 +131,7 @@
 fn the_pause_between_lists_grows_with_the_fleet() {
     let mut agent = with_open_flow(0);
     let roster = roster(1, &[BALANCER], 16_000);
-    agent.handle(at(1_000), Event::Roster(BALANCER, roster));
+    agent.handle(at(1_000), Event::Gossip(BALANCER, roster));
 
     let flow_at = |agent: &mut Agent, now: u64| {
         let head = data(flow(1), 1_101, 501);
@@ -150,11 +150,11 @@
 #[test]
 fn a_flow_that_was_just_opened_is_in_the_list() {
     let mut agent = with_open_flow(0);
-    agent.handle(at(PAUSE_MS), Event::FromServer(accepted(flow(2), 500)));
+    agent.handle(at(MIN_INTERVAL_MS), Event::FromServer(accepted(flow(2), 500)));
     let head = data(flow(2), 1_001, 501);
-    agent.handle(at(PAUSE_MS), Event::Carry { from: BALANCER, head, known: true });
+    agent.handle(at(MIN_INTERVAL_MS), Event::Carry { from: BALANCER, head, known: true });
 
-    let list = saved(agent.handle(at(PAUSE_MS + 100), Event::Tick));
+    let list = saved(agent.handle(at(MIN_INTERVAL_MS + 100), Event::Tick));
 
     assert!(list.is_some_and(|list| list.flows.contains_key(&flow(2))));
 }
@@ -169,10 +169,10 @@
         agent.handle(at(now), Event::Carry { from: BALANCER, head, known: true });
     };
     (2..=9).for_each(|port| open(&mut agent, port, 20));
-    let first = saved(agent.handle(at(PAUSE_MS + 100), Event::Tick));
-    open(&mut agent, 10, PAUSE_MS + 200);
+    let first = saved(agent.handle(at(MIN_INTERVAL_MS + 100), Event::Tick));
+    open(&mut agent, 10, MIN_INTERVAL_MS + 200);
 
-    let second = saved(agent.handle(at(3 * PAUSE_MS), Event::Tick));
+    let second = saved(agent.handle(at(3 * MIN_INTERVAL_MS), Event::Tick));
 
     assert_eq!(first.map(|list| list.flows.len()), Some(9));
     assert_eq!(second, None);
--- a/crates/nutmegkeel_core/tests/l4/contended_agent.rs
+++ b/crates/nutmegkeel_core/tests/l4/contended_agent.rs
@@ -29,7 +29,7 @@
     let mut agent = agent_with(policy);
     agent.handle(at(0), Event::Recovered(None));
     agent.handle(at(0), Event::Heartbeat(heartbeat("a", 1)));
-    agent.handle(at(0), Event::Roster(BALANCER, roster(1, &[BALANCER], 1)));
+    agent.handle(at(0), Event::Gossip(BALANCER, roster(1, &[BALANCER], 1)));
     for port in 1..=FILL {
         begin(&mut agent, now, flow(port), idempotent(4));
     }
--- a/crates/nutmegkeel_core/tests/l4/delegate.rs
+++ b/crates/nutmegkeel_core/tests/l4/delegate.rs
@@ -289,9 +289,9 @@
     let own = handover.step(at(4_200), &delegates, true, MANY);
     let done = handover.step(at(9_000), &delegates, true, MANY);
 
-    assert_eq!(first, Some(Step::Deposit(host(1), list(1))));
+    assert_eq!(first, Some(Step::Delegate(host(1), list(1))));
     assert_eq!(waits, None);
-    assert_eq!(second, Some(Step::Deposit(host(2), list(1))));
+    assert_eq!(second, Some(Step::Delegate(host(2), list(1))));
     assert_eq!(own, Some(Step::Write(list(1))));
     assert_eq!(done, None);
 }
@@ -302,7 +302,7 @@
     handover.begin(list(1));
     handover.step(at(0), &[host(1)], true, MANY);
 
-    handover.written(1);
+    handover.record_saved(1);
 
     assert_eq!(handover.step(at(9_000), &[host(1)], true, MANY), None);
 }
@@ -331,7 +331,7 @@
     let back = handover.step(at(3_100), &[host(1)], true, MANY);
 
     assert_eq!(away, None);
-    assert_eq!(back, Some(Step::Deposit(host(1), list(1))));
+    assert_eq!(back, Some(Step::Delegate(host(1), list(1))));
 }
 
 /// Lists of a host whose time of day was set back are never written: those of its predecessor have higher
@@ -342,11 +342,11 @@
     handover.begin(list(3));
     handover.step(at(0), &[host(1)], true, MANY);
 
-    handover.written(8);
+    handover.record_saved(8);
 
     assert_eq!(
         handover.step(at(10), &[host(1)], true, MANY),
-        Some(Step::Deposit(host(1), list(9)))
+        Some(Step::Delegate(host(1), list(9)))
     );
 }
 
@@ -356,7 +356,7 @@
     let mut agent = agent();
     agent.handle(at(0), agent::Event::Recovered(None));
     agent.handle(at(1), agent::Event::Heartbeat(heartbeat("a", 1)));
-    agent.handle(at(3_000), agent::Event::Roster(BALANCER, roster(1, &[], 20)));
+    agent.handle(at(3_000), agent::Event::Gossip(BALANCER, roster(1, &[], 20)));
     open(&mut agent, 3_000, flow(1), demand(false));
     ask(&mut agent, 3_002, flow(1), 1_001);
 
@@ -380,7 +380,7 @@
 
     assert_eq!(first(3), Some(Step::Write(list(1))));
     assert_eq!(first(5), Some(Step::Write(list(1))));
-    assert_eq!(first(6), Some(Step::Deposit(host(1), list(1))));
+    assert_eq!(first(6), Some(Step::Delegate(host(1), list(1))));
 }
 
 #[test]
@@ -401,9 +401,9 @@
     let mut agent = agent();
     agent.handle(at(0), agent::Event::Recovered(None));
     agent.handle(at(1), agent::Event::Heartbeat(heartbeat("a", 1)));
-    agent.handle(at(3_000), agent::Event::Roster(BALANCER, roster(1, &[], 10)));
+    agent.handle(at(3_000), agent::Event::Gossip(BALANCER, roster(1, &[], 10)));
     let far = Roster { domain: "tema".into(), ..roster(1, &[], 10) };
-    agent.handle(at(3_000), agent::Event::Roster(host(9), far));
+    agent.handle(at(3_000), agent::Event::Gossip(host(9), far));
     open(&mut agent, 3_000, flow(1), demand(false));
     ask(&mut agent, 3_002, flow(1), 1_001);
 
--- a/crates/nutmegkeel_core/tests/l4/evacuated_fleet.rs
+++ b/crates/nutmegkeel_core/tests/l4/evacuated_fleet.rs
@@ -257,7 +257,7 @@
 fn to_agent(from: Ipv4Addr, message: Message, head: Option<Head>) -> Option<agent::Event> {
     Some(match message {
         Message::Open(offer) => agent::Event::Open { from, head: head?, offer },
-        Message::Roster(roster) => agent::Event::Roster(from, roster),
+        Message::Roster(roster) => agent::Event::Gossip(from, roster),
         _ => return None,
     })
 }
--- a/crates/nutmegkeel_core/tests/l4/evacuation.rs
+++ b/crates/nutmegkeel_core/tests/l4/evacuation.rs
@@ -205,7 +205,7 @@
 #[test]
 fn an_agent_refuses_what_an_older_view_sends_and_teaches_its_sender() {
     let mut agent = serving();
-    agent.handle(at(10), agent::Event::Roster(host(9), word_with(orders(5, &[DOMAIN]))));
+    agent.handle(at(10), agent::Event::Gossip(host(9), word_with(orders(5, &[DOMAIN]))));
 
     let refused = agent.handle(at(20), offered(1, 4));
 
@@ -238,7 +238,7 @@
 #[test]
 fn an_agent_takes_what_a_newer_view_sends() {
     let mut agent = serving();
-    agent.handle(at(10), agent::Event::Roster(host(9), word_with(orders(5, &[DOMAIN]))));
+    agent.handle(at(10), agent::Event::Gossip(host(9), word_with(orders(5, &[DOMAIN]))));
 
     let newer = agent.handle(at(20), offered(1, 6));
     agent.handle(at(21), agent::Event::FromServer(accepted(flow(1), 500)));
@@ -254,7 +254,7 @@
     let mut agent = serving();
     agent.handle(at(5), offered(1, 4));
 
-    agent.handle(at(10), agent::Event::Roster(host(9), word_with(orders(5, &[DOMAIN]))));
+    agent.handle(at(10), agent::Event::Gossip(host(9), word_with(orders(5, &[DOMAIN]))));
     let copy = agent.handle(at(205), offered(1, 4));
 
     assert!(takes(&copy), "{copy:?}");
@@ -267,7 +267,7 @@
 fn a_copy_does_not_open_an_evacuated_domain() {
     let mut balancer = balancer_of_two();
     let mut agent = serving();
-    agent.handle(at(3_005), agent::Event::Roster(host(9), word_with(orders(5, &[DOMAIN]))));
+    agent.handle(at(3_005), agent::Event::Gossip(host(9), word_with(orders(5, &[DOMAIN]))));
     balancer.handle(at(3_000), open(1));
     // Read anew: the same orders at a later revision.
     balancer.handle(at(3_010), Event::Ordered(orders(7, &[DOMAIN, FAR])));
@@ -290,7 +290,7 @@
 #[test]
 fn an_offer_of_the_same_revision_opens_nothing() {
     let mut agent = serving();
-    agent.handle(at(10), agent::Event::Roster(host(9), word_with(orders(5, &[DOMAIN]))));
+    agent.handle(at(10), agent::Event::Gossip(host(9), word_with(orders(5, &[DOMAIN]))));
 
     let same = agent.handle(at(20), offered(1, 5));
     let older = agent.handle(at(30), offered(2, 4));
@@ -450,11 +450,11 @@
     /// later state in which the domain was taken back, the agent hands none to its server.
     fn no_opening_reaches_a_server_after_its_agent_knew(old: Vec<u8>) -> bool {
         let mut agent = serving();
-        agent.handle(at(1), agent::Event::Roster(host(9), word_with(orders(300, &[DOMAIN]))));
+        agent.handle(at(1), agent::Event::Gossip(host(9), word_with(orders(300, &[DOMAIN]))));
         let mut ports = 1..;
         old.iter().zip(2..).all(|(revision, now)| {
             let stale = word_with(orders(u64::from(*revision), &[]));
-            agent.handle(at(now), agent::Event::Roster(host(8), stale));
+            agent.handle(at(now), agent::Event::Gossip(host(8), stale));
             let port = ports.next().expect("few openings");
             !takes(&agent.handle(at(now), offered(port, u64::from(*revision))))
         })
--- a/crates/nutmegkeel_core/tests/l4/outlier.rs
+++ b/crates/nutmegkeel_core/tests/l4/outlier.rs
@@ -1,20 +1,20 @@
-use nutmegkeel_core::l4::outlier::Record;
+use nutmegkeel_core::l4::outlier::Detector;
 
 use crate::fixture::at;
 
-fn fail(record: &mut Record, now_ms: u64) {
+fn fail(record: &mut Detector, now_ms: u64) {
     for _ in 0..3 {
-        record.broken(at(now_ms));
+        record.record_broken(at(now_ms));
     }
 }
 
 #[test]
 fn one_broken_request_is_an_accident() {
-    let mut record = Record::default();
+    let mut record = Detector::default();
     for step in 0..200 {
-        record.answered();
+        record.record_answered();
         if step % 20 == 0 {
-            record.broken(at(step));
+            record.record_broken(at(step));
         }
     }
 
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_server_that_fails_again_on_its_return_is_left_for_longer() {
-    let mut record = Record::default();
+    let mut record = Detector::default();
     fail(&mut record, 0);
     let first = (record.is_failing(at(1_999)), record.is_failing(at(2_000)));
 
@@ -36,10 +36,10 @@
 
 #[test]
 fn a_server_that_has_recovered_starts_anew() {
-    let mut record = Record::default();
+    let mut record = Detector::default();
     fail(&mut record, 0);
     for _ in 0..50 {
-        record.answered();
+        record.record_answered();
     }
 
     fail(&mut record, 10_000);
--- a/crates/nutmegkeel_core/tests/l4/recovery.rs
+++ b/crates/nutmegkeel_core/tests/l4/recovery.rs
@@ -163,7 +163,7 @@
             Parcel::ToAgent(number, message, head) => {
                 let from = BALANCER;
                 let event = match (message, head) {
-                    (Message::Roster(roster), _) => agent::Event::Roster(from, roster),
+                    (Message::Roster(roster), _) => agent::Event::Gossip(from, roster),
                     (Message::Carry { known }, Some(head)) => {
                         agent::Event::Carry { from, head, known }
                     }
--- a/crates/nutmegkeel_core/tests/l4/replica.rs
+++ b/crates/nutmegkeel_core/tests/l4/replica.rs
@@ -26,7 +26,7 @@
     };
     let mut agent = Agent::open(at(0), own, &[BALANCER]);
     agent.handle(at(1), agent::Event::Heartbeat(heartbeat("a", 1)));
-    agent.handle(at(2_900), agent::Event::Roster(BALANCER, roster(5, &[], agents)));
+    agent.handle(at(2_900), agent::Event::Gossip(BALANCER, roster(5, &[], agents)));
     agent
 }
 
@@ -63,7 +63,7 @@
     agent.handle(at(3_000), agent::Event::Fetched(7));
 
     let older = fetches(&mut agent, 4_100);
-    agent.handle(at(4_150), agent::Event::Roster(BALANCER, roster(8, &[], 2)));
+    agent.handle(at(4_150), agent::Event::Gossip(BALANCER, roster(8, &[], 2)));
     let newer = fetches(&mut agent, 4_200);
 
     assert_eq!((older, newer), (false, true));
@@ -119,11 +119,11 @@
     let orders = Orders { revision: revision(5), domains: [DOMAIN.into()].into() };
     let mut agent = agent_of(host(1), 2, Policy::default());
     let known = Roster { orders: Some(orders.clone()), ..roster(5, &[], 2) };
-    agent.handle(at(3_000), agent::Event::Roster(BALANCER, known));
+    agent.handle(at(3_000), agent::Event::Gossip(BALANCER, known));
 
     let unknown = Roster { orders: None, ..roster(0, &[], 2) };
-    let told = agent.handle(at(3_010), agent::Event::Roster(host(9), unknown));
-    let silent = agent.handle(at(3_020), agent::Event::Roster(BALANCER, roster(5, &[], 2)));
+    let told = agent.handle(at(3_010), agent::Event::Gossip(host(9), unknown));
+    let silent = agent.handle(at(3_020), agent::Event::Gossip(BALANCER, roster(5, &[], 2)));
 
     let teaches = |actions: &[agent::Action]| {
         actions.iter().any(|action| matches!(action, agent::Action::Send(_, Message::Orders(_))))
--- a/crates/nutmegkeel_core/tests/l4/server.rs
+++ b/crates/nutmegkeel_core/tests/l4/server.rs
@@ -1,5 +1,5 @@
 use nutmegkeel_core::l4::route::Service;
-use nutmegkeel_core::l4::server::{Beside, Heard, Incarnation};
+use nutmegkeel_core::l4::server::{History, Incarnation, Update};
 
 use crate::fixture::{at, heartbeat, heartbeat_of, incarnation};
 
@@ -7,32 +7,32 @@
 /// crashed during a partition, and a heartbeat of that server arrives late.
 #[test]
 fn a_late_heartbeat_of_an_ended_incarnation_changes_nothing() {
-    let mut beside = Beside::open(1_200);
+    let mut beside = History::open(1_200);
     beside.heartbeat(at(0), &heartbeat("old", 5));
     beside.heartbeat(at(1_000), &heartbeat("new", 1));
 
     let heard = beside.heartbeat(at(1_500), &heartbeat("old", 6));
 
-    assert_eq!(heard, Heard::Stale);
+    assert_eq!(heard, Update::Stale);
     assert_eq!(beside.server().map(|server| &*server.incarnation.id), Some("new"));
 }
 
 #[test]
 fn a_heartbeat_that_was_overtaken_changes_nothing() {
-    let mut beside = Beside::open(1_200);
+    let mut beside = History::open(1_200);
     let mut draining = heartbeat("a", 7);
     draining.draining = true;
     beside.heartbeat(at(0), &draining);
 
     let heard = beside.heartbeat(at(100), &heartbeat("a", 6));
 
-    assert_eq!(heard, Heard::Stale);
+    assert_eq!(heard, Update::Stale);
     assert_eq!(beside.server().map(|server| server.draining), Some(true));
 }
 
 #[test]
 fn a_server_seen_from_its_first_heartbeat_is_known_whole() {
-    let mut beside = Beside::open(1_200);
+    let mut beside = History::open(1_200);
     beside.heartbeat(at(0), &heartbeat("a", 4));
     let joined_late = beside.server().map(|server| server.seen_from_start);
 
@@ -44,7 +44,7 @@
 
 #[test]
 fn deregistering_an_earlier_incarnation_does_not_end_the_present_one() {
-    let mut beside = Beside::open(1_200);
+    let mut beside = History::open(1_200);
     beside.heartbeat(at(0), &heartbeat("old", 1));
     beside.heartbeat(at(100), &heartbeat("new", 1));
 
@@ -59,12 +59,12 @@
 /// no new flows.
 #[test]
 fn a_server_back_under_its_old_id_is_a_new_incarnation_with_its_first_heartbeat() {
-    let mut beside = Beside::open(1_200);
+    let mut beside = History::open(1_200);
     beside.heartbeat(at(0), &heartbeat_of("a", 5_000, 40));
 
     let heard = beside.heartbeat(at(900), &heartbeat_of("a", 9_000, 1));
 
-    assert_eq!(heard, Heard::Replaced);
+    assert_eq!(heard, Update::Replaced);
     let server = beside.server().expect("a server runs");
     assert_eq!((server.incarnation.started_ms, server.seq), (Some(9_000), 1));
     assert!(server.seen_from_start);
@@ -74,13 +74,13 @@
 /// earlier start, which has a higher sequence number.
 #[test]
 fn a_late_heartbeat_of_the_earlier_start_under_the_same_id_changes_nothing() {
-    let mut beside = Beside::open(1_200);
+    let mut beside = History::open(1_200);
     beside.heartbeat(at(0), &heartbeat_of("a", 5_000, 40));
     beside.heartbeat(at(900), &heartbeat_of("a", 9_000, 1));
 
     let heard = beside.heartbeat(at(1_000), &heartbeat_of("a", 5_000, 41));
 
-    assert_eq!(heard, Heard::Stale);
+    assert_eq!(heard, Update::Stale);
     assert_eq!(beside.server().and_then(|server| server.incarnation.started_ms), Some(9_000));
 }
 
@@ -88,7 +88,7 @@
 /// once, while the running server sends its own.
 #[test]
 fn late_heartbeats_of_an_earlier_start_never_heard_of_change_nothing() {
-    let mut beside = Beside::open(1_200);
+    let mut beside = History::open(1_200);
     beside.heartbeat(at(0), &heartbeat_of("a", 9_000, 3));
 
     let first = beside.heartbeat(at(600), &heartbeat_of("a", 5_000, 40));
@@ -96,8 +96,8 @@
     let present = beside.heartbeat(at(1_200), &heartbeat_of("a", 9_000, 4));
     let third = beside.heartbeat(at(1_800), &heartbeat_of("a", 5_000, 42));
 
-    assert_eq!((first, second), (Heard::Contested, Heard::Contested));
-    assert_eq!((present, third), (Heard::Same, Heard::Contested));
+    assert_eq!((first, second), (Update::Contested, Update::Contested));
+    assert_eq!((present, third), (Update::Unchanged, Update::Contested));
     assert_eq!(beside.server().and_then(|server| server.incarnation.started_ms), Some(9_000));
 }
 
@@ -105,13 +105,13 @@
 /// one. The new start must be accepted within two seconds.
 #[test]
 fn a_start_while_the_clock_is_set_back_is_believed_with_its_second_heartbeat() {
-    let mut beside = Beside::open(1_200);
+    let mut beside = History::open(1_200);
     beside.heartbeat(at(0), &heartbeat_of("a", 9_000, 40));
 
     let first = beside.heartbeat(at(500), &heartbeat_of("a", 7_000, 1));
     let second = beside.heartbeat(at(1_600), &heartbeat_of("a", 7_000, 2));
 
-    assert_eq!((first, second), (Heard::Contested, Heard::Replaced));
+    assert_eq!((first, second), (Update::Contested, Update::Replaced));
     assert_eq!(beside.server().and_then(|server| server.incarnation.started_ms), Some(7_000));
 }
 
@@ -119,7 +119,7 @@
 /// of another service.
 #[test]
 fn one_word_of_another_service_does_not_replace_a_server_that_goes_on() {
-    let mut beside = Beside::open(1_200);
+    let mut beside = History::open(1_200);
     beside.heartbeat(at(0), &heartbeat("a", 3));
     let mut foreign = heartbeat("x", 1);
     foreign.service = Service::named("elsewhere");
@@ -128,7 +128,7 @@
     let contested = beside.is_contested();
     beside.heartbeat(at(1_200), &heartbeat("a", 4));
 
-    assert_eq!((heard, contested), (Heard::Contested, true));
+    assert_eq!((heard, contested), (Update::Contested, true));
     assert!(!beside.is_contested());
     assert_eq!(beside.server().map(|server| &*server.incarnation.id), Some("a"));
 }
@@ -136,7 +136,7 @@
 /// A deregistration of the earlier start was delayed; the running server has the same id.
 #[test]
 fn the_farewell_of_an_earlier_start_does_not_end_the_present_one() {
-    let mut beside = Beside::open(1_200);
+    let mut beside = History::open(1_200);
     beside.heartbeat(at(0), &heartbeat_of("a", 9_000, 1));
     let earlier = Incarnation { id: "a".into(), started_ms: Some(5_000) };
     let present = Incarnation { id: "a".into(), started_ms: Some(9_000) };
@@ -150,7 +150,7 @@
 /// can have received the others.
 #[test]
 fn a_server_whose_first_heartbeats_nobody_took_is_known_whole() {
-    let mut beside = Beside::open(1_200);
+    let mut beside = History::open(1_200);
 
     beside.heartbeat(at(9_240), &heartbeat_of("a", 9_000, 3));
 
@@ -166,7 +166,7 @@
     let of_unknown_start = heartbeat("a", 2);
 
     for beat in [after_a_pause, by_a_clock_set_back, of_unknown_start] {
-        let mut beside = Beside::open(1_200);
+        let mut beside = History::open(1_200);
         beside.heartbeat(at(10_080), &beat);
 
         let known_whole = beside.server().map(|server| server.seen_from_start);
--- a/crates/nutmegkeel_core/tests/l4/speed.rs
+++ b/crates/nutmegkeel_core/tests/l4/speed.rs
@@ -1,21 +1,21 @@
 use nutmegkeel_core::l4::agent::{Action, Agent, Event, Identity};
 use nutmegkeel_core::l4::message::Message;
 use nutmegkeel_core::l4::policy::{Condition, Policy};
-use nutmegkeel_core::l4::speed::{LONGEST_MS, Meter};
+use nutmegkeel_core::l4::speed::{MAX_WINDOW_MS, Meter};
 
 use crate::fixture::{BALANCER, DOMAIN, agent, ask, at, data, demand, flow, heartbeat, host, open};
 
 /// Records `answers` answers, each after `service_ms`, with all three slots of the server busy.
 fn full(meter: &mut Meter, from: u64, service_ms: u64, answers: u64) -> u64 {
     let mut now = from;
-    meter.look(at(now), 3);
+    meter.record_working(at(now), 3);
     for _ in 0..answers.div_ceil(3) {
         let until = now + service_ms;
         while now < until {
             now = until.min(now + 100);
-            meter.look(at(now), 3);
+            meter.record_working(at(now), 3);
         }
-        (0..3).for_each(|_| meter.answered(at(now)));
+        (0..3).for_each(|_| meter.record_answer(at(now)));
     }
     now
 }
@@ -65,15 +65,15 @@
     let now = full(&mut meter, 0, 50, 60);
 
     for millis in (now..now + 2_000).step_by(100) {
-        meter.look(at(millis), 3);
+        meter.record_working(at(millis), 3);
     }
     let soon = meter.service_ms();
     for millis in (now + 2_000..now + 60_000).step_by(100) {
-        meter.look(at(millis), 3);
+        meter.record_working(at(millis), 3);
     }
 
     assert!(soon > 250, "{soon}");
-    assert_eq!(u64::from(meter.service_ms()), LONGEST_MS);
+    assert_eq!(u64::from(meter.service_ms()), MAX_WINDOW_MS);
 }
 
 #[test]
@@ -82,7 +82,7 @@
     let now = full(&mut meter, 0, 50, 60);
 
     for millis in (now..now + 12_000).step_by(100) {
-        meter.look(at(millis), 0);
+        meter.record_working(at(millis), 0);
     }
 
     assert_eq!(meter.service_ms(), 0);
@@ -94,7 +94,7 @@
     let mut meter = Meter::open(at(0));
     let now = full(&mut meter, 0, 50, 60);
 
-    meter.look(at(now + 5_000), 3);
+    meter.record_working(at(now + 5_000), 3);
     full(&mut meter, now + 5_000, 50, 30);
 
     assert!(meter.service_ms() <= 50, "{}", meter.service_ms());
--- a/crates/nutmegkeel_core/tests/l4/summary.rs
+++ b/crates/nutmegkeel_core/tests/l4/summary.rs
@@ -370,8 +370,8 @@
 /// An agent that a balancer at home and a far one have spoken to.
 fn acquainted() -> agent::Agent {
     let mut agent = agent();
-    agent.handle(at(1), agent::Event::Roster(BALANCER, roster(1, &[], 1)));
-    agent.handle(at(1), agent::Event::Roster(FAR_BALANCER, far_roster()));
+    agent.handle(at(1), agent::Event::Gossip(BALANCER, roster(1, &[], 1)));
+    agent.handle(at(1), agent::Event::Gossip(FAR_BALANCER, far_roster()));
     agent
 }
 
@@ -399,7 +399,7 @@
 #[test]
 fn an_agent_without_balancers_at_home_speaks_to_all() {
     let mut agent = acquainted();
-    agent.handle(at(3_000), agent::Event::Roster(FAR_BALANCER, far_roster()));
+    agent.handle(at(3_000), agent::Event::Gossip(FAR_BALANCER, far_roster()));
 
     let sent = announced_to(&agent.handle(at(3_000), agent::Event::Tick));
 
--- a/crates/nutmegkeel_core/tests/l4/uneven_fleet.rs
+++ b/crates/nutmegkeel_core/tests/l4/uneven_fleet.rs
@@ -177,7 +177,7 @@
             Event::Request { server, opened, left } => self.ask(server, opened, left),
             Event::Answer { server } => {
                 let place = &mut self.servers[usize::from(server)];
-                place.meter.answered(at(self.now));
+                place.meter.record_answer(at(self.now));
                 place.at_server = place.at_server.saturating_sub(1);
                 self.look(server);
             }
@@ -204,7 +204,7 @@
     fn look(&mut self, server: u8) {
         let place = &mut self.servers[usize::from(server)];
         let working = usize::from(place.at_server).min(SLOTS);
-        place.meter.look(at(self.now), working as u64);
+        place.meter.record_working(at(self.now), working as u64);
     }
 
     fn report(&mut self, server: u8) {
--- a/crates/nutmegkeel_core/tests/l4/warmup.rs
+++ b/crates/nutmegkeel_core/tests/l4/warmup.rs
@@ -94,7 +94,7 @@
     let told = |number, domains: &[&str]| {
         let domains = domains.iter().map(|domain| (*domain).into()).collect();
         let orders = Some(Orders { revision: revision(number), domains });
-        agent::Event::Roster(BALANCER, Roster { orders, ..roster(1, &[], 1) })
+        agent::Event::Gossip(BALANCER, Roster { orders, ..roster(1, &[], 1) })
     };
     let offered_by = |port, number| match offered(port, 2) {
         agent::Event::Open { from, head, offer } => {
--- a/crates/nutmegkeel_node/src/l4/agent.rs
+++ b/crates/nutmegkeel_node/src/l4/agent.rs
@@ -160,7 +160,7 @@
     let hearing = Arc::clone(shared);
     let listing = Arc::clone(shared);
     let hooks = membership::Hooks {
-        hears: Box::new(move || hearing.core().hears_balancers()),
+        hears: Box::new(move || hearing.core().has_balancer_contact()),
         entry: Box::new(|| None),
         answered: Box::new(|_| ()),
         listed: Box::new(move |balancers| listing.handle(Event::Listed(balancers), &mut [])),
@@ -242,7 +242,7 @@
         };
         let at = bytes.len() - packet.len();
         let event = match message {
-            Message::Roster(roster) => Event::Roster(from, roster),
+            Message::Roster(roster) => Event::Gossip(from, roster),
             Message::Open(offer) => {
                 let Some(head) = link::client_head(packet) else { return };
                 Event::Open { from, head, offer }
@@ -252,7 +252,7 @@
                 Event::Carry { from, head, known }
             }
             Message::Locate { flow } => Event::Locate(from, flow),
-            Message::Written { number } => Event::Written(number),
+            Message::Written { number } => Event::FlowsSaved(number),
             Message::Declined { .. }
             | Message::Holds { .. }
             | Message::Absent { .. }
--- a/crates/nutmegkeel_wire/tests/l4.rs
+++ b/crates/nutmegkeel_wire/tests/l4.rs
@@ -67,7 +67,7 @@
 fn the_longest_messages_fit_into_a_datagram() {
     let end = |number: u16| SocketAddrV4::new(Ipv4Addr::new(203, 0, 113, 200), 60_000 + number);
     let flow = |number| (Flow { client: end(number), service: end(0) }, u32::MAX);
-    let count = u16::try_from(handover::LONGEST).expect("a short list");
+    let count = u16::try_from(handover::MAX_FLOWS).expect("a short list");
     let server = Incarnation { id: "i-0123456789abcdef".into(), started_ms: Some(u64::MAX >> 20) };
     let flows = (0..count).map(flow).collect();
     let list = Message::Deposit(Checkpoint { number: u64::MAX >> 20, server, flows });
