--- a/crates/nutmegkeel_core/src/l4/agent.rs
+++ b/crates/nutmegkeel_core/src/l4/agent.rs
@@ -12,15 +12,15 @@
 mod refused;
 mod replica;
 mod request;
+mod server;
 mod speed;
-mod standing;
 mod warmup;
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-use evacuation::Standing;
+use evacuation::View;
 use refused::Refused;
 use replica::Replica;
 use request::Opening;
@@ -74,12 +74,12 @@
 pub struct Agent {
     identity: Identity,
     started: Time,
-    beside: History,
+    history: History,
     balancers: Book,
     /// Balancers that changed since the last tick.
     balancers_changed: Turnover,
     /// Balancers that have sent a message to this process, and so know it.
-    acquainted: BTreeSet<Ipv4Addr>,
+    introduced: BTreeSet<Ipv4Addr>,
     table: Table,
     probes: Probes,
     waiting: Queue,
@@ -91,28 +91,28 @@
     meter: Meter,
     /// Whether the server was cold at the last tick.
     was_cold: bool,
-    record: outlier::Detector,
+    outliers: outlier::Detector,
     mute: mute::Detector,
     unanswered_since: Option<Time>,
     unresponsive: bool,
     leaving: bool,
-    keeper: Recorder,
+    recorder: Recorder,
     handover: Handover,
     /// Last reported state of each balancer.
-    words: Words,
+    balancer_states: Words,
     /// Number of agents that a balancer last reported.
-    fleet: u64,
+    agent_count: u64,
     /// What is known of the evacuation of the own failure domain.
-    evacuation: Standing,
+    evacuation: View,
     replica: Replica,
     /// When the evacuation of the own failure domain last ended.
     taken_back: Option<Time>,
     /// Limits the openings that a cold server gets.
     budget: Budget,
     /// Whether a packet to the server got no answer while no server was known.
-    deserted: bool,
-    number: u64,
-    announced: Time,
+    server_absent: bool,
+    announcement_number: u64,
+    announced_at: Time,
 }
 
 impl Agent {
@@ -123,19 +123,19 @@
         for seed in seeds {
             balancers.heard(now, *seed);
         }
-        let mut words = Words::default();
-        words.set_round(TELL_MS);
+        let mut balancer_states = Words::default();
+        balancer_states.set_round(TELL_MS);
         Self {
-            beside: History::open(identity.heartbeat_ms),
+            history: History::open(identity.heartbeat_ms),
             handover: Handover::default(),
-            words,
-            keeper: Recorder::open(now, identity.checkpoints_per_s),
-            fleet: 0,
-            evacuation: Standing::default(),
+            balancer_states,
+            recorder: Recorder::open(now, identity.checkpoints_per_s),
+            agent_count: 0,
+            evacuation: View::default(),
             replica: Replica::default(),
             taken_back: None,
             budget: Budget::default(),
-            deserted: false,
+            server_absent: false,
             waiting: Queue::open(&identity.policy),
             shares: Shares::default(),
             refused: Refused::default(),
@@ -143,19 +143,19 @@
             started: now,
             balancers,
             balancers_changed: Turnover::default(),
-            acquainted: BTreeSet::new(),
+            introduced: BTreeSet::new(),
             table: Table::default(),
             probes: Probes::default(),
             pace: Pace::default(),
             meter: Meter::open(now),
             was_cold: false,
-            record: outlier::Detector::default(),
+            outliers: outlier::Detector::default(),
             mute: mute::Detector::open(now),
             unanswered_since: None,
             unresponsive: false,
             leaving: false,
-            number: 0,
-            announced: Time::ZERO,
+            announcement_number: 0,
+            announced_at: Time::ZERO,
         }
     }
 
@@ -163,25 +163,25 @@
     #[must_use]
     pub fn load(&self) -> Load {
         let load = self.table.load();
-        let counted = |count: usize| u16::try_from(count).unwrap_or(u16::MAX);
-        let waiting = counted(self.waiting.len());
+        let saturate = |count: usize| u16::try_from(count).unwrap_or(u16::MAX);
+        let waiting = saturate(self.waiting.len());
         // After a restart most requests arrive on flows that this process does not know yet. Not
         // counted, they fill the server while balancers consider it free.
         let unknown =
             if self.uses(Mechanism::DomainBalance) { self.probes.unanswered_requests() } else { 0 };
-        let busy = load.busy.saturating_add(waiting).saturating_add(counted(unknown));
+        let busy = load.busy.saturating_add(waiting).saturating_add(saturate(unknown));
         Load { busy, service_ms: self.service_ms(), ..load }
     }
 
     /// Returns the state that is announced to balancers.
     #[must_use]
     pub fn state(&self, now: Time) -> State {
-        match self.beside.server() {
+        match self.history.server() {
             None if self.leaving => State::Gone,
             _ if self.leaving => State::Restarting,
             Some(server) if server.draining || self.unresponsive => State::Closed,
-            Some(_) if self.beside.is_contested() => State::Closed,
-            Some(_) if self.record.is_failing(now) => State::Failing,
+            Some(_) if self.history.is_contested() => State::Closed,
+            Some(_) if self.outliers.is_failing(now) => State::Failing,
             Some(_) => State::Ready,
             None => State::Closed,
         }
@@ -206,18 +206,18 @@
     /// Returns whether a balancer has contacted this process.
     #[must_use]
     pub fn has_balancer_contact(&self) -> bool {
-        !self.acquainted.is_empty()
+        !self.introduced.is_empty()
     }
 
     /// Handles an event.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
-        let mut actions = self.take_in(now, event);
+        let mut actions = self.dispatch(now, event);
         actions.extend(self.release(now));
         self.measure(now);
         actions
     }
 
-    fn take_in(&mut self, now: Time, event: Event) -> Vec<Action> {
+    fn dispatch(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Open { from, head, offer } => {
                 let since = now.before(u64::from(offer.waited_ms));
@@ -225,43 +225,43 @@
             }
             Event::Carry { from, head, known } => self.carry(now, from, &head, known),
             Event::Locate(from, flow) => self.locate(now, from, flow),
-            Event::FromServer(head) => self.answered(now, &head),
+            Event::FromServer(head) => self.handle_server_packet(now, &head),
             Event::Bounced(head) => self.bounced(now, &head),
             Event::Heartbeat(beat) => self.heartbeat(now, &beat),
             Event::Deregistered(leaving) => self.deregistered(now, &leaving),
-            Event::Gossip(from, roster) => self.roster(now, from, &roster),
+            Event::Gossip(from, gossip) => self.apply_gossip(now, from, &gossip),
             Event::FlowsSaved(number) => {
-                self.keeper.record_number(number);
+                self.recorder.record_number(number);
                 self.handover.record_saved(number);
                 Vec::new()
             }
-            Event::Listed(balancers) => self.listed(now, &balancers),
+            Event::Listed(balancers) => self.add_balancers(now, &balancers),
             Event::Fetched(version) => {
-                self.replica.hold(version);
+                self.replica.set_version(version);
                 Vec::new()
             }
             Event::Recovered(checkpoint) => {
-                self.keeper.apply_predecessor(checkpoint);
-                self.tell_lost(now)
+                self.recorder.apply_predecessor(checkpoint);
+                self.reset_lost_flows(now)
             }
             Event::Leave => self.leave(now),
             Event::Tick => self.tick(now),
         }
     }
 
-    fn hand_over(&mut self, now: Time, flow: Flow, from: Ipv4Addr) -> Action {
+    fn forward_opening(&mut self, now: Time, flow: Flow, from: Ipv4Addr) -> Action {
         self.unanswered_since.get_or_insert(now);
         Action::ToServer(self.probes.insert(now, flow, from))
     }
 
-    fn accepted(&self, flow: Flow) -> Action {
+    fn log_accepted(&self, flow: Flow) -> Action {
         Action::Note(Note::Accepted { flow, load: self.load() })
     }
 
     fn carry(&mut self, now: Time, from: Ipv4Addr, head: &Head, known: bool) -> Vec<Action> {
         let flow = head.flow;
         if self.table.holds(now, head) {
-            let mut actions = self.take(now, head, from);
+            let mut actions = self.accept(now, head, from);
             if !known {
                 actions.push(Action::Send(from, Message::Holds { flow, load: self.load() }));
             }
@@ -300,21 +300,21 @@
     }
 
     fn tick(&mut self, now: Time) -> Vec<Action> {
-        let mut actions = self.judge_server(now);
-        actions.extend(self.notice_mute(now));
-        actions.extend(self.notice_absence(now));
+        let mut actions = self.check_responsiveness(now);
+        actions.extend(self.check_mute(now));
+        actions.extend(self.check_absence(now));
         actions.extend(self.save(now));
-        actions.extend(self.replicate(now));
-        self.notice_warmth(now);
+        actions.extend(self.fetch_replica(now));
+        self.restart_meter_when_warm(now);
         self.table.expire(now);
         self.refused.expire(now);
         self.probes.expire(now);
         self.balancers.expire(now);
-        self.words.expire(now);
-        self.acquainted.retain(|balancer| self.balancers.knows(*balancer));
-        actions.extend(self.note_turnover());
-        if now.since(self.announced) >= ANNOUNCE_MS {
-            actions.extend(self.announce_again(now));
+        self.balancer_states.expire(now);
+        self.introduced.retain(|balancer| self.balancers.knows(*balancer));
+        actions.extend(self.log_balancer_changes());
+        if now.since(self.announced_at) >= ANNOUNCE_MS {
+            actions.extend(self.announce_periodically(now));
         } else if self.uses(Mechanism::Introductions) {
             actions.extend(self.introduce(now));
         }
@@ -326,8 +326,8 @@
             return None;
         }
         let flows = self.table.open_flows();
-        if let Some(server) = self.beside.server()
-            && let Some(list) = self.keeper.due(now, self.fleet, server, flows)
+        if let Some(server) = self.history.server()
+            && let Some(list) = self.recorder.due(now, self.agent_count, server, flows)
         {
             if !self.uses(Mechanism::Collectors) {
                 return Some(Action::Save(list));
@@ -337,9 +337,10 @@
         if !self.handover.is_pending() {
             return None;
         }
-        let patience_ms = self.words.counted_ms();
-        let delegates = self.words.delegates(now, &self.identity.domain, None, patience_ms);
-        let agents = self.agents_at_home(now);
+        let timeout_ms = self.balancer_states.counted_ms();
+        let delegates =
+            self.balancer_states.delegates(now, &self.identity.domain, None, timeout_ms);
+        let agents = self.agents_in_domain(now);
         match self.handover.step(now, &delegates, self.reaches_store(now), agents)? {
             Step::Delegate(balancer, list) => Some(Action::Send(balancer, Message::Deposit(list))),
             Step::Write(list) => Some(Action::Save(list)),
@@ -348,15 +349,17 @@
 
     /// Returns the estimated number of agents in the own failure domain; balancers report the total
     /// of all domains.
-    fn agents_at_home(&self, now: Time) -> u64 {
-        self.fleet.div_ceil(self.words.domains(now).max(1))
+    fn agents_in_domain(&self, now: Time) -> u64 {
+        self.agent_count.div_ceil(self.balancer_states.domains(now).max(1))
     }
 
     /// Returns whether a balancer of the own failure domain recently reported that the store
     /// answers.
     #[must_use]
     pub fn reaches_store(&self, now: Time) -> bool {
-        self.words.of_domain(now, &self.identity.domain).any(|(_, word)| word.reaches_store)
+        self.balancer_states
+            .of_domain(now, &self.identity.domain)
+            .any(|(_, state)| state.reaches_store)
     }
 
     fn decline(&self, to: Ipv4Addr, reason: Reason) -> Action {
--- a/crates/nutmegkeel_core/src/l4/agent/answer.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/answer.rs
@@ -11,17 +11,17 @@
 use crate::l4::table::{Outcome, Stage};
 
 impl Agent {
-    pub(super) fn answered(&mut self, now: Time, head: &Head) -> Vec<Action> {
+    pub(super) fn handle_server_packet(&mut self, now: Time, head: &Head) -> Vec<Action> {
         self.unanswered_since = None;
-        self.deserted = false;
+        self.server_absent = false;
         let mut actions = vec![Action::ToClient];
-        actions.extend(self.responsive(now));
+        actions.extend(self.mark_responsive(now));
         if self.table.get(&head.flow).is_none() && !head.flags.rst {
             self.table.adopt(now, head);
             actions.push(Action::Note(Note::Adopted { flow: head.flow }));
         }
         if let Some(outcome) = self.table.record_server(now, head) {
-            actions.extend(self.learn(now, outcome));
+            actions.extend(self.apply_outcome(now, outcome));
         }
         if let Some(balancer) = self.probes.take_answered(&head.flow) {
             let message = Message::Holds { flow: head.flow, load: self.load() };
@@ -34,23 +34,23 @@
     /// time if the request found a free slot. Other requests waited at the server. If their wait
     /// counted as service time, a short burst would make the agent refuse requests that it can
     /// serve in time.
-    fn learn(&mut self, now: Time, outcome: Outcome) -> Vec<Action> {
-        let slots = self.beside.server().map_or(0, |server| usize::from(server.slots));
+    fn apply_outcome(&mut self, now: Time, outcome: Outcome) -> Vec<Action> {
+        let slots = self.history.server().map_or(0, |server| usize::from(server.slots));
         match outcome {
             Outcome::Answered { after_ms, behind } => {
-                self.record.record_answered();
+                self.outliers.record_answered();
                 self.mute.record_answer(now);
                 let found_slot = behind < slots;
-                self.note_answer(now, after_ms, found_slot);
+                self.record_answer(now, after_ms, found_slot);
                 if found_slot {
                     self.pace.learn(after_ms);
                 }
                 vec![Action::CountAnswer(after_ms)]
             }
             Outcome::Broken { behind }
-                if self.is_fault(behind, slots) && self.record.record_broken(now) =>
+                if self.is_fault(behind, slots) && self.outliers.record_broken(now) =>
             {
-                let mut actions = vec![self.changed(ServerChange::Failing)];
+                let mut actions = vec![self.log_change(ServerChange::Failing)];
                 actions.extend(self.announce(now));
                 actions
             }
@@ -71,8 +71,8 @@
 
     pub(super) fn bounced(&mut self, now: Time, head: &Head) -> Vec<Action> {
         self.unanswered_since = None;
-        self.deserted = false;
-        let mut actions = self.responsive(now);
+        self.server_absent = false;
+        let mut actions = self.mark_responsive(now);
         let probe = self.probes.take(head.tag);
         if let Some(from) = probe.filter(|_| head.opens()) {
             actions.extend(self.turned_away(from, head));
--- a/crates/nutmegkeel_core/src/l4/agent/balancers.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/balancers.rs
@@ -13,7 +13,7 @@
 
 /// Time within which a balancer of the own failure domain must have sent its state to count as
 /// reached by this agent's announcements, in milliseconds. One message may be lost.
-const NEAR_MS: u64 = 2 * TELL_NEAR_MS + 500;
+const LOCAL_CONTACT_MS: u64 = 2 * TELL_NEAR_MS + 500;
 
 impl Agent {
     /// Applies a balancer's state.
@@ -21,30 +21,35 @@
     /// A balancer that leaves still forwards packets, so the agent goes on sending announcements to
     /// it. Otherwise the balancer would consider the agent dead and reset its flows. It is removed
     /// once no balancer lists it any more.
-    pub(super) fn roster(&mut self, now: Time, from: Ipv4Addr, roster: &Roster) -> Vec<Action> {
-        self.fleet = u64::from(roster.agents);
-        if roster.leaving {
-            self.acquainted.remove(&from);
-            self.words.remove(from);
+    pub(super) fn apply_gossip(
+        &mut self,
+        now: Time,
+        from: Ipv4Addr,
+        gossip: &Roster,
+    ) -> Vec<Action> {
+        self.agent_count = u64::from(gossip.agents);
+        if gossip.leaving {
+            self.introduced.remove(&from);
+            self.balancer_states.remove(from);
         } else {
-            self.acquainted.insert(from);
-            self.words.hear(now, from, roster);
+            self.introduced.insert(from);
+            self.balancer_states.hear(now, from, gossip);
         }
-        if roster.digest == self.balancers.digest() {
+        if gossip.digest == self.balancers.digest() {
             self.balancers.heard_all(now);
         }
-        let orders = roster.orders.as_ref();
-        let mut actions = orders.map(|orders| self.ordered(now, orders)).unwrap_or_default();
+        let orders = gossip.orders.as_ref();
+        let mut actions = orders.map(|orders| self.apply_orders(now, orders)).unwrap_or_default();
         if orders.is_none() {
-            actions.extend(self.teach_newest(from));
+            actions.extend(self.send_newest_orders(from));
         }
-        self.replica.note(from, roster.version);
-        actions.extend(self.listed(now, &roster.balancers));
-        actions.extend(self.listed(now, &[from]));
+        self.replica.record_version(from, gossip.version);
+        actions.extend(self.add_balancers(now, &gossip.balancers));
+        actions.extend(self.add_balancers(now, &[from]));
         actions
     }
 
-    pub(super) fn listed(&mut self, now: Time, balancers: &[Ipv4Addr]) -> Vec<Action> {
+    pub(super) fn add_balancers(&mut self, now: Time, balancers: &[Ipv4Addr]) -> Vec<Action> {
         let mut actions = Vec::new();
         for balancer in balancers {
             if self.balancers.heard(now, *balancer) {
@@ -62,65 +67,65 @@
     /// all flows would go to the servers whose agents started later. A balancer answers a first
     /// announcement at once.
     pub(super) fn introduce(&mut self, now: Time) -> Vec<Action> {
-        let known = &self.acquainted;
-        let strangers: Vec<Ipv4Addr> =
+        let known = &self.introduced;
+        let not_introduced: Vec<Ipv4Addr> =
             self.balancers.iter().filter(|balancer| !known.contains(balancer)).collect();
-        if strangers.is_empty() { Vec::new() } else { self.announce_to(now, strangers) }
+        if not_introduced.is_empty() { Vec::new() } else { self.announce_to(now, not_introduced) }
     }
 
     /// Logs which balancers changed since the last tick.
-    pub(super) fn note_turnover(&mut self) -> Option<Action> {
+    pub(super) fn log_balancer_changes(&mut self) -> Option<Action> {
         let turnover = self.balancers_changed.take()?;
         Some(Action::Note(Note::Balancers { turnover, known: self.balancers.len() }))
     }
 
     /// Announces this agent to all balancers, because its state changed.
     pub(super) fn announce(&mut self, now: Time) -> Vec<Action> {
-        self.announced = now;
+        self.announced_at = now;
         self.announce_to(now, self.balancers.iter().collect())
     }
 
     /// Sends the announcement that is due every 300 ms.
-    pub(super) fn announce_again(&mut self, now: Time) -> Vec<Action> {
-        self.announced = now;
-        self.announce_to(now, self.audience(now))
+    pub(super) fn announce_periodically(&mut self, now: Time) -> Vec<Action> {
+        self.announced_at = now;
+        self.announce_to(now, self.announcement_targets(now))
     }
 
     /// Returns the balancers that need the announcement from the agent itself: those of its own
     /// failure domain, which pass it on to the others, and those that have not contacted it yet.
     /// Returns all while no balancer of the own failure domain is in contact.
-    fn audience(&self, now: Time) -> Vec<Ipv4Addr> {
+    fn announcement_targets(&self, now: Time) -> Vec<Ipv4Addr> {
         let all = self.balancers.iter();
-        if !self.uses(Mechanism::Summaries) || !self.is_near_a_balancer(now) {
+        if !self.uses(Mechanism::Summaries) || !self.has_local_balancer(now) {
             return all.collect();
         }
-        let is_far = |balancer: &Ipv4Addr| {
-            let domain = self.words.get(*balancer).map(|word| &word.domain);
+        let is_remote = |balancer: &Ipv4Addr| {
+            let domain = self.balancer_states.get(*balancer).map(|state| &state.domain);
             domain.is_some_and(|domain| *domain != self.identity.domain)
         };
-        all.filter(|balancer| !is_far(balancer) || !self.acquainted.contains(balancer)).collect()
+        all.filter(|balancer| !is_remote(balancer) || !self.introduced.contains(balancer)).collect()
     }
 
-    fn is_near_a_balancer(&self, now: Time) -> bool {
-        let mut near = self.words.of_domain(now, &self.identity.domain);
-        near.any(|(_, word)| now.since(word.said) <= NEAR_MS)
+    fn has_local_balancer(&self, now: Time) -> bool {
+        let mut local = self.balancer_states.of_domain(now, &self.identity.domain);
+        local.any(|(_, state)| now.since(state.said) <= LOCAL_CONTACT_MS)
     }
 
     fn announce_to(&mut self, now: Time, balancers: Vec<Ipv4Addr>) -> Vec<Action> {
-        self.number += 1;
-        let word = self.announcement_at(now);
-        balancers.into_iter().map(|balancer| Action::Send(balancer, word.clone())).collect()
+        self.announcement_number += 1;
+        let announcement = self.announcement_at(now);
+        balancers.into_iter().map(|balancer| Action::Send(balancer, announcement.clone())).collect()
     }
 
     fn announcement(&self) -> Message {
-        self.announcement_at(self.announced)
+        self.announcement_at(self.announced_at)
     }
 
     fn announcement_at(&self, now: Time) -> Message {
-        let server = self.beside.server();
+        let server = self.history.server();
         Message::Announce(Announcement {
             incarnation: self.identity.incarnation,
-            number: self.number,
+            number: self.announcement_number,
             domain: Arc::clone(&self.identity.domain),
             service: server.map(|server| server.service),
             slots: server.map_or(0, |server| server.slots),
--- a/crates/nutmegkeel_core/src/l4/agent/contended.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/contended.rs
@@ -24,18 +24,18 @@
     }
 
     /// Records a request that arrives on a flow by way of a balancer.
-    pub(super) fn note_asked(&mut self, now: Time, flow: Flow, from: Ipv4Addr) {
+    pub(super) fn record_asked(&mut self, now: Time, flow: Flow, from: Ipv4Addr) {
         if !self.uses(Mechanism::FairShares) {
             return;
         }
-        let Some(word) = self.words.get(from) else {
+        let Some(state) = self.balancer_states.get(from) else {
             return;
         };
-        self.shares.ask(now, *flow.client.ip(), &word.domain, self.pace.mean_us());
+        self.shares.ask(now, *flow.client.ip(), &state.domain, self.pace.mean_us());
     }
 
     /// Records that a request goes to the server.
-    pub(super) fn note_received(&mut self, now: Time, flow: Flow) {
+    pub(super) fn record_received(&mut self, now: Time, flow: Flow) {
         if self.uses(Mechanism::FairShares) {
             self.shares.receive(now, *flow.client.ip(), self.pace.mean_us());
         }
@@ -43,7 +43,7 @@
 
     /// Returns whether the request of an opening can be served. One that cannot is refused before
     /// it costs its client a connection and a round trip.
-    pub(super) fn bears(&mut self, now: Time, opening: &Opening) -> bool {
+    pub(super) fn can_serve(&mut self, now: Time, opening: &Opening) -> bool {
         let (flow, since) = (opening.head.flow, opening.since);
         let Offer { demand, returns, .. } = opening.offer;
         let waiting = Waiting { flow, since, opened: now, demand, returns, request: None };
@@ -88,7 +88,7 @@
                 let (flow, waited_ms) = (waiting.flow, now.since(waiting.since));
                 actions.push(Action::Note(Note::BeyondShare { flow, standing, waited_ms }));
             }
-            actions.extend(self.let_go(now, &waiting, &request));
+            actions.extend(self.release_request(now, &waiting, &request));
         }
         actions
     }
@@ -111,7 +111,7 @@
     /// Guards against requests that overtake all waiting ones because their client or its network
     /// path is slow. They would go to the server's own queue, and the more so the more packets are
     /// lost under load.
-    pub(super) fn wait_again(&mut self, now: Time, head: &Head) -> bool {
+    pub(super) fn requeue(&mut self, now: Time, head: &Head) -> bool {
         let demand = self.table.demand(&head.flow).filter(|_| self.is_saturated());
         let Some(demand) = demand.filter(|_| self.waiting.is_contended()) else {
             return false;
--- a/crates/nutmegkeel_core/src/l4/agent/refused.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/refused.rs
@@ -11,7 +11,7 @@
 
 /// Maximum number of flows to remember. Even under heavy overload an agent refuses only some
 /// hundred flows per second.
-const MOST: usize = 1_000;
+const MAX_FLOWS: usize = 1_000;
 
 /// When a flow was refused, and what identifies its packets.
 #[derive(Clone, Copy, Debug)]
@@ -43,7 +43,7 @@
     /// Adds the flow of a request. If the limit is reached, removes the flow that was refused
     /// first.
     pub(super) fn insert(&mut self, now: Time, request: &Head) {
-        if self.flows.len() >= MOST {
+        if self.flows.len() >= MAX_FLOWS {
             let oldest = self.flows.iter().min_by_key(|(_, refusal)| refusal.at);
             let oldest = oldest.map(|(flow, _)| *flow);
             oldest.and_then(|flow| self.flows.remove(&flow));
--- a/crates/nutmegkeel_core/src/l4/agent/request.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/request.rs
@@ -13,7 +13,7 @@
 /// Number of requests that may queue at the backend server before others wait at the agent: one to
 /// take the next free slot, and one because an opening turns into a request only a round trip
 /// later.
-const AHEAD: u16 = 2;
+const QUEUED_AT_SERVER: u16 = 2;
 
 /// An opening that a balancer sent.
 #[derive(Debug)]
@@ -35,15 +35,16 @@
         if let Some(reason) = self.refusal(now, opening, is_copy) {
             return vec![self.decline(opening.from, reason)];
         }
-        if let Some(orders) = self.evacuated_since(now, opening.offer.orders).filter(|_| !is_copy) {
+        if let Some(orders) = self.forbidding_orders(now, opening.offer.orders).filter(|_| !is_copy)
+        {
             let refusal = self.decline(opening.from, Reason::Evacuated);
-            return vec![self.teach(opening.from, orders), refusal];
+            return vec![self.send_orders(opening.from, orders), refusal];
         }
         self.budget.set_rate(opening.offer.cold_per_s);
         if !is_copy && self.room(now) == Some(0) {
             return vec![self.decline(opening.from, Reason::Cold)];
         }
-        let action = self.hand_over(now, flow, opening.from);
+        let action = self.forward_opening(now, flow, opening.from);
         if is_copy {
             return vec![action];
         }
@@ -51,7 +52,7 @@
         self.waiting.remove(&flow);
         self.refused.remove(&flow);
         self.table.open(now, flow, opening.head.seq, demand);
-        self.note_asked(now, flow, opening.from);
+        self.record_asked(now, flow, opening.from);
         if self.may_wait(demand) && self.is_saturated() {
             let (since, returns) = (opening.since, opening.offer.returns);
             let waiting = Waiting { flow, since, opened: now, demand, returns, request: None };
@@ -59,16 +60,16 @@
             self.table.set_waiting(flow, true);
         } else {
             self.table.admit(now, flow);
-            self.note_received(now, flow);
+            self.record_received(now, flow);
         }
-        vec![action, self.accepted(flow)]
+        vec![action, self.log_accepted(flow)]
     }
 
     /// Returns why an opening is refused, if it is. What the agent observes takes precedence over
     /// what the balancer assumed: a draining server accepts nothing from the heartbeat on that
     /// reports it, and a server of another service, at a reused address, never receives the packet.
     fn refusal(&mut self, now: Time, opening: &Opening, is_copy: bool) -> Option<Reason> {
-        let Some(server) = self.beside.server() else {
+        let Some(server) = self.history.server() else {
             return Some(Reason::Leaving);
         };
         if server.service != opening.offer.service {
@@ -83,7 +84,7 @@
         let (busy, slots) = (self.load().busy, server.slots.max(1));
         let Offer { demand, insistence, .. } = opening.offer;
         let is_late = if self.waiting.is_contended() {
-            insistence == Insistence::IfInTime && !self.bears(now, opening)
+            insistence == Insistence::IfInTime && !self.can_serve(now, opening)
         } else {
             !demand.once && self.expected_ms() > u64::from(demand.deadline_ms)
         };
@@ -103,33 +104,33 @@
     }
 
     pub(super) fn slots(&self) -> u64 {
-        self.beside.server().map_or(1, |server| u64::from(server.slots.max(1)))
+        self.history.server().map_or(1, |server| u64::from(server.slots.max(1)))
     }
 
     /// Returns whether the backend server has no free slot and its own queue is full enough. While
     /// this process leaves, waiting requests go to the server's own queue, because no other process
     /// has them.
     pub(super) fn is_saturated(&self) -> bool {
-        let slots = self.beside.server().map_or(0, |server| server.slots);
+        let slots = self.history.server().map_or(0, |server| server.slots);
         let waits_here = self.uses(Mechanism::AgentQueue) && !self.leaving;
-        waits_here && self.table.load().busy >= slots + AHEAD
+        waits_here && self.table.load().busy >= slots + QUEUED_AT_SERVER
     }
 
     /// Accepts a client's packet of a flow that the server holds. Its request goes to the server if
     /// a slot is free, and otherwise waits at the agent, where the newest can go first. The
     /// server's own queue is answered in the order of arrival, which makes all requests late.
-    pub(super) fn take(&mut self, now: Time, head: &Head, from: Ipv4Addr) -> Vec<Action> {
+    pub(super) fn accept(&mut self, now: Time, head: &Head, from: Ipv4Addr) -> Vec<Action> {
         if self.table.is_waiting(&head.flow) {
             return self.wait(now, head);
         }
         let begun = self.table.begins(head);
         if begun.is_some() {
-            self.note_asked(now, head.flow, from);
+            self.record_asked(now, head.flow, from);
         }
         let waits = begun.filter(|demand| self.may_wait(*demand) && self.is_saturated());
         let Some(demand) = waits else {
             if begun.is_some() {
-                self.note_received(now, head.flow);
+                self.record_received(now, head.flow);
             }
             self.table.record_client(now, head);
             return vec![Action::ToServer(0)];
@@ -156,7 +157,7 @@
             return vec![Action::ToServer(0)];
         }
         self.table.record_waiting(now, head);
-        if is_request && !self.waiting.note_request(head) && !self.wait_again(now, head) {
+        if is_request && !self.waiting.note_request(head) && !self.requeue(now, head) {
             // The request came so long after its opening that it has lost its place in the queue.
             self.table.admit(now, head.flow);
             self.table.record_client(now, head);
@@ -174,7 +175,7 @@
         if self.waiting.is_empty() {
             return actions;
         }
-        if self.beside.server().is_none() {
+        if self.history.server().is_none() {
             for waiting in self.waiting.take_all() {
                 actions.extend(self.give_up(now, &waiting, Cause::ServerDead));
             }
@@ -191,23 +192,28 @@
             match waiting.request.filter(|_| self.table.is_open(&waiting.flow)) {
                 // The server itself rejects what it has no room for, which shows that the request
                 // has not run.
-                Some(request) => actions.extend(self.let_go(now, &waiting, &request)),
+                Some(request) => actions.extend(self.release_request(now, &waiting, &request)),
                 None => actions.extend(self.give_up(now, &waiting, Cause::Late)),
             }
         }
         while !self.is_saturated()
             && let Some((waiting, request)) = self.waiting.pop(now, self.pace.most_us() / 1_000)
         {
-            actions.extend(self.let_go(now, &waiting, &request));
+            actions.extend(self.release_request(now, &waiting, &request));
         }
         actions
     }
 
     /// Passes a request that waited to the server.
-    pub(super) fn let_go(&mut self, now: Time, waiting: &Waiting, request: &Head) -> Vec<Action> {
+    pub(super) fn release_request(
+        &mut self,
+        now: Time,
+        waiting: &Waiting,
+        request: &Head,
+    ) -> Vec<Action> {
         self.table.admit(now, waiting.flow);
         self.table.record_client(now, request);
-        self.note_received(now, waiting.flow);
+        self.record_received(now, waiting.flow);
         let (urgency, waited_ms) = (waiting.demand.urgency, now.since(waiting.since));
         vec![Action::CountWait { urgency, waited_ms }, Action::Release(waiting.flow)]
     }
--- a/crates/nutmegkeel_core/src/l4/agent/standing.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/server.rs
@@ -18,44 +18,44 @@
 /// Flows on which the backend server sent a packet within this time are not reset, in milliseconds.
 /// The first heartbeat of an incarnation arrives right after its start, so a restart that it
 /// reports cannot have ended such a flow.
-const ALIVE_MS: u64 = 1_000;
+const RECENTLY_ACTIVE_MS: u64 = 1_000;
 
 /// Time without a heartbeat after which an agent concludes that there is no server on its host, in
 /// percent of the heartbeat interval. One and a half intervals, because a running server sends its
 /// next heartbeat within one.
-const UNHEARD_PERCENT: u64 = 150;
+const ABSENT_PERCENT: u64 = 150;
 
 impl Agent {
     pub(super) fn heartbeat(&mut self, now: Time, beat: &Heartbeat) -> Vec<Action> {
-        let was_contested = self.beside.is_contested();
-        let heard = self.beside.heartbeat(now, beat);
+        let was_contested = self.history.is_contested();
+        let update = self.history.heartbeat(now, beat);
         let mut actions = Vec::new();
-        match heard {
+        match update {
             Update::Stale => return actions,
             Update::Contested => {
-                actions.push(self.changed(ServerChange::Contested));
+                actions.push(self.log_change(ServerChange::Contested));
                 actions.extend(self.announce(now));
                 return actions;
             }
             Update::Unchanged => {}
-            Update::Draining => actions.push(self.changed(ServerChange::Draining)),
-            Update::First => actions.push(self.changed(ServerChange::Started)),
+            Update::Draining => actions.push(self.log_change(ServerChange::Draining)),
+            Update::First => actions.push(self.log_change(ServerChange::Started)),
             Update::Replaced => {
-                self.record.clear();
+                self.outliers.clear();
                 self.meter.clear();
-                let ended = self.table.take_silent(now, ALIVE_MS);
+                let ended = self.table.take_silent(now, RECENTLY_ACTIVE_MS);
                 for (flow, held) in ended {
                     actions.extend(reset(flow, held.client_ack, Cause::ServerRestarted));
                 }
-                actions.push(self.changed(ServerChange::Started));
+                actions.push(self.log_change(ServerChange::Started));
             }
         }
-        actions.extend(self.tell_lost(now));
+        actions.extend(self.reset_lost_flows(now));
         // A server that sends heartbeats gets another try.
         self.unanswered_since = None;
-        self.deserted = false;
-        actions.extend(self.responsive(now));
-        if heard != Update::Unchanged || was_contested {
+        self.server_absent = false;
+        actions.extend(self.mark_responsive(now));
+        if update != Update::Unchanged || was_contested {
             actions.extend(self.announce(now));
         }
         actions
@@ -63,20 +63,20 @@
 
     /// Resets the flows that were lost with the host. A flow that has been opened again from the
     /// same port is left alone.
-    pub(super) fn tell_lost(&mut self, now: Time) -> Vec<Action> {
-        let Some(server) = self.beside.server() else {
+    pub(super) fn reset_lost_flows(&mut self, now: Time) -> Vec<Action> {
+        let Some(server) = self.history.server() else {
             return Vec::new();
         };
         if !self.uses(Mechanism::FlowLists) {
             return Vec::new();
         }
-        let lost = self.keeper.take_lost(now, server);
+        let lost = self.recorder.take_lost(now, server);
         let lost = lost.into_iter().filter(|(flow, _)| self.table.get(flow).is_none());
         lost.flat_map(|(flow, ack)| reset(flow, ack, Cause::HostRestarted)).collect()
     }
 
     pub(super) fn deregistered(&mut self, now: Time, leaving: &Incarnation) -> Vec<Action> {
-        if !self.beside.deregistered(leaving) {
+        if !self.history.deregistered(leaving) {
             return Vec::new();
         }
         let (id, change) = (Arc::clone(&leaving.id), ServerChange::Ended);
@@ -93,11 +93,11 @@
     /// may hold earlier flows.
     pub(super) fn is_certain(&self, now: Time) -> bool {
         let age_ms = now.since(self.started);
-        match self.beside.server() {
+        match self.history.server() {
             Some(server) => server.seen_from_start || age_ms > FORGET_MS,
             None => {
-                let limit_ms = self.identity.heartbeat_ms * UNHEARD_PERCENT / 100;
-                self.deserted || self.beside.has_ended() || age_ms > limit_ms
+                let limit_ms = self.identity.heartbeat_ms * ABSENT_PERCENT / 100;
+                self.server_absent || self.history.has_ended() || age_ms > limit_ms
             }
         }
     }
@@ -105,7 +105,7 @@
     /// Detects a backend server that stopped answering. It gets no new flows at first. When its
     /// heartbeats are overdue too, its flows are reset, because their clients would wait until
     /// their own timeouts.
-    pub(super) fn judge_server(&mut self, now: Time) -> Vec<Action> {
+    pub(super) fn check_responsiveness(&mut self, now: Time) -> Vec<Action> {
         let Some(since) = self.unanswered_since else {
             return Vec::new();
         };
@@ -113,13 +113,13 @@
         let is_spared = self.uses(Mechanism::Unresponsive);
         if is_spared && !self.unresponsive && now.since(since) > UNRESPONSIVE_MS {
             self.unresponsive = true;
-            actions.push(self.changed(ServerChange::Unresponsive));
+            actions.push(self.log_change(ServerChange::Unresponsive));
             actions.extend(self.announce(now));
         }
-        if self.unresponsive && self.beside.is_overdue(now) {
-            let ended = self.table.take_silent(now, ALIVE_MS);
+        if self.unresponsive && self.history.is_overdue(now) {
+            let ended = self.table.take_silent(now, RECENTLY_ACTIVE_MS);
             if !ended.is_empty() {
-                actions.push(self.changed(ServerChange::Dead));
+                actions.push(self.log_change(ServerChange::Dead));
             }
             for (flow, held) in ended {
                 actions.extend(reset(flow, held.client_ack, Cause::ServerDead));
@@ -134,15 +134,15 @@
     /// Guards against clients that wait without an answer until their deadline on an open flow,
     /// which cannot be moved. Requests that must run once are left alone, because they may be
     /// running.
-    pub(super) fn notice_mute(&mut self, now: Time) -> Vec<Action> {
+    pub(super) fn check_mute(&mut self, now: Time) -> Vec<Action> {
         let outstanding = self.table.outstanding();
         let limit = self.mute.check(now, outstanding, self.pace.most_us());
         let Some(limit) = limit.filter(|_| self.uses(Mechanism::Mute)) else {
             return Vec::new();
         };
         let mut actions = Vec::new();
-        if self.record.spare(now) {
-            actions.push(self.changed(ServerChange::Mute));
+        if self.outliers.spare(now) {
+            actions.push(self.log_change(ServerChange::Mute));
             actions.extend(self.announce(now));
         }
         for (flow, held) in self.table.take_stuck(limit) {
@@ -157,30 +157,30 @@
     /// Detects that there is no server on this host, and reports it to the balancers that asked for
     /// a flow. Guards against clients of lost flows that wait for seconds for a host without a
     /// server.
-    pub(super) fn notice_absence(&mut self, now: Time) -> Vec<Action> {
-        if self.beside.server().is_some() {
+    pub(super) fn check_absence(&mut self, now: Time) -> Vec<Action> {
+        if self.history.server().is_some() {
             return Vec::new();
         }
         let unanswered = self.probes.take_unanswered(now);
-        self.deserted |= !unanswered.is_empty();
+        self.server_absent |= !unanswered.is_empty();
         let load = self.load();
         let absent = |(flow, from)| Action::Send(from, Message::Absent { flow, load });
         unanswered.into_iter().map(absent).collect()
     }
 
-    pub(super) fn responsive(&mut self, now: Time) -> Vec<Action> {
+    pub(super) fn mark_responsive(&mut self, now: Time) -> Vec<Action> {
         if !self.unresponsive {
             return Vec::new();
         }
         self.unresponsive = false;
-        let mut actions = vec![self.changed(ServerChange::Responsive)];
+        let mut actions = vec![self.log_change(ServerChange::Responsive)];
         actions.extend(self.announce(now));
         actions
     }
 
-    pub(super) fn changed(&self, change: ServerChange) -> Action {
+    pub(super) fn log_change(&self, change: ServerChange) -> Action {
         let id = self
-            .beside
+            .history
             .server()
             .map_or_else(|| "".into(), |server| Arc::clone(&server.incarnation.id));
         Action::Note(Note::Server { id, change })
--- a/crates/nutmegkeel_core/src/l4/agent/speed.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/speed.rs
@@ -11,7 +11,7 @@
     /// Records how many slots are busy from now on. Requests beyond the slots wait in the server's
     /// own queue.
     pub(super) fn measure(&mut self, now: Time) {
-        let slots = self.beside.server().map_or(0, |server| u64::from(server.slots));
+        let slots = self.history.server().map_or(0, |server| u64::from(server.slots));
         let at_server = u64::try_from(self.table.working()).unwrap_or(u64::MAX);
         self.meter.record_working(now, at_server.min(slots));
     }
@@ -20,7 +20,7 @@
     ///
     /// Guards against a full server that looks fast: it rejects what does not fit into its short
     /// queue, and each rejection would count as a request served in no time.
-    pub(super) fn note_answer(&mut self, now: Time, after_ms: u64, found_slot: bool) {
+    pub(super) fn record_answer(&mut self, now: Time, after_ms: u64, found_slot: bool) {
         if found_slot || after_ms > TURNED_AWAY_MS {
             self.meter.record_answer(now);
         }
@@ -36,7 +36,7 @@
     /// Restarts the measurement when the server's warm-up ends. Guards against a server that is
     /// considered slow because it was cold: its service time would be compared with that of warm
     /// servers.
-    pub(super) fn notice_warmth(&mut self, now: Time) {
+    pub(super) fn restart_meter_when_warm(&mut self, now: Time) {
         let is_cold = self.is_cold(now);
         if self.was_cold && !is_cold {
             self.meter.clear();
--- a/crates/nutmegkeel_core/src/l4/agent/warmup.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/warmup.rs
@@ -11,11 +11,11 @@
     /// Guards against full load on servers that became cold during the evacuation: their last
     /// heartbeat is from before and reports them as warm.
     pub(super) fn is_cold(&self, now: Time) -> bool {
-        let is_doubtful = |server: &Server| {
+        let is_outdated = |server: &Server| {
             self.taken_back.is_some_and(|taken_back| server.last_seen <= taken_back)
         };
-        let is_cold = |server: &Server| now < server.warm_at || is_doubtful(server);
-        self.beside.server().is_some_and(is_cold)
+        let is_cold = |server: &Server| now < server.warm_at || is_outdated(server);
+        self.history.server().is_some_and(is_cold)
     }
 
     /// Returns the number of openings that the server may get now; `None` if there is no limit.
--- a/crates/nutmegkeel_core/src/l4/checkpoint.rs
+++ b/crates/nutmegkeel_core/src/l4/checkpoint.rs
@@ -25,24 +25,24 @@
 /// Share of the flows, in percent, that must be missing from the last checkpoint or out of date in
 /// it before it is written again. A higher share leaves many clients without a reset; a lower one
 /// costs writes for few flows.
-const MISSING_PERCENT: usize = 25;
+const REWRITE_PERCENT: usize = 25;
 
 /// Bytes that the client may acknowledge after a checkpoint before its entry is out of date. Half
 /// the permitted error of a reset's sequence number, because the client goes on until the next
 /// write.
-const DRIFT: u32 = 38_000;
+const MAX_DRIFT: u32 = 38_000;
 
 /// Maximum number of flows in a checkpoint: 21 bytes each, in a value of at most one megabyte.
-const MOST: usize = 10_000;
+const MAX_FLOWS: usize = 10_000;
 
 /// Time after the start of the process in which the predecessor's checkpoint is useful, in
 /// milliseconds. No client waits longer for an answer.
-const USEFUL_MS: u64 = 10_000;
+const RECOVERY_MS: u64 = 10_000;
 
 /// Highest sequence number of the first heartbeat received from a backend server that counts as new
 /// although it reports no start time. Guards against a delayed heartbeat of an earlier incarnation:
 /// it would be taken for a new server, and flows of the current one would be reset.
-const YOUNG: u64 = 3;
+const MAX_NEW_SEQ: u64 = 3;
 
 /// The open flows of one incarnation of a backend server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -57,7 +57,7 @@
 
 /// Processing state of the predecessor's checkpoint.
 #[derive(Debug)]
-enum Before {
+enum Predecessor {
     /// The store has not answered yet.
     Unread,
     /// The checkpoint was read; the backend server is not known yet.
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub struct Recorder {
     started: Time,
-    before: Before,
+    predecessor: Predecessor,
     saved: Checkpoint,
     saved_at: Time,
     /// Highest known number of a checkpoint.
@@ -85,7 +85,7 @@
     pub fn open(now: Time, writes_per_s: u64) -> Self {
         Self {
             started: now,
-            before: Before::Unread,
+            predecessor: Predecessor::Unread,
             saved: Checkpoint::default(),
             saved_at: now,
             number: 0,
@@ -98,25 +98,25 @@
         if let Some(checkpoint) = &checkpoint {
             self.record_number(checkpoint.number);
         }
-        if matches!(self.before, Before::Unread) {
-            self.before = checkpoint.map_or(Before::Done, Before::Read);
+        if matches!(self.predecessor, Predecessor::Unread) {
+            self.predecessor = checkpoint.map_or(Predecessor::Done, Predecessor::Read);
         }
     }
 
     /// Returns the flows that were lost with the predecessor's backend server. Returns them once,
     /// and none if the current server is the same incarnation and still holds them.
     pub fn take_lost(&mut self, now: Time, server: &Server) -> Vec<(Flow, u32)> {
-        let Before::Read(checkpoint) = &mut self.before else {
+        let Predecessor::Read(checkpoint) = &mut self.predecessor else {
             return Vec::new();
         };
         let checkpoint = std::mem::take(checkpoint);
-        self.before = Before::Done;
+        self.predecessor = Predecessor::Done;
         if checkpoint.server == server.incarnation {
             self.saved = checkpoint;
             return Vec::new();
         }
-        let was_new = server.seen_from_start || server.first_seq <= YOUNG;
-        let is_new = was_new && now.since(self.started) <= USEFUL_MS;
+        let was_new = server.seen_from_start || server.first_seq <= MAX_NEW_SEQ;
+        let is_new = was_new && now.since(self.started) <= RECOVERY_MS;
         if is_new { checkpoint.flows.into_iter().collect() } else { Vec::new() }
     }
 
@@ -130,17 +130,21 @@
         server: &Server,
         flows: impl Iterator<Item = (Flow, u32)>,
     ) -> Option<Checkpoint> {
-        self.give_up_reading(now);
-        let pause_ms = MIN_INTERVAL_MS.max(agents * 1_000 / self.writes_per_s);
-        if !matches!(self.before, Before::Done) || now.since(self.saved_at) < pause_ms {
+        self.expire_predecessor(now);
+        let interval_ms = MIN_INTERVAL_MS.max(agents * 1_000 / self.writes_per_s);
+        if !matches!(self.predecessor, Predecessor::Done) || now.since(self.saved_at) < interval_ms
+        {
             return None;
         }
-        let flows: BTreeMap<Flow, u32> = flows.take(MOST).collect();
-        let is_noted = |(flow, ack): (&Flow, &u32)| {
-            self.saved.flows.get(flow).is_some_and(|noted| ack.wrapping_sub(*noted) <= DRIFT)
+        let flows: BTreeMap<Flow, u32> = flows.take(MAX_FLOWS).collect();
+        let is_recorded = |(flow, ack): (&Flow, &u32)| {
+            self.saved
+                .flows
+                .get(flow)
+                .is_some_and(|recorded| ack.wrapping_sub(*recorded) <= MAX_DRIFT)
         };
-        let missing = flows.len() - flows.iter().filter(|flow| is_noted(*flow)).count();
-        if missing == 0 || missing * 100 < flows.len() * MISSING_PERCENT {
+        let missing = flows.len() - flows.iter().filter(|flow| is_recorded(*flow)).count();
+        if missing == 0 || missing * 100 < flows.len() * REWRITE_PERCENT {
             return None;
         }
         // The time of day, or the next number if the clock was set back.
@@ -165,9 +169,9 @@
 
     /// Stops waiting for the predecessor's checkpoint after a time, so that a store that does not
     /// answer cannot keep this process from saving its own flows.
-    fn give_up_reading(&mut self, now: Time) {
-        if now.since(self.started) > USEFUL_MS {
-            self.before = Before::Done;
+    fn expire_predecessor(&mut self, now: Time) {
+        if now.since(self.started) > RECOVERY_MS {
+            self.predecessor = Predecessor::Done;
         }
     }
 }
--- a/crates/nutmegkeel_core/src/l4/handover.rs
+++ b/crates/nutmegkeel_core/src/l4/handover.rs
@@ -67,15 +67,15 @@
         agents: u64,
     ) -> Option<Step> {
         let list = self.list.as_ref()?;
-        let is_away = !delegates.is_empty() && !reaches_store;
-        if list.flows.len() > MAX_FLOWS || (!gathers(agents) && !is_away) {
+        let is_unreachable = !delegates.is_empty() && !reaches_store;
+        if list.flows.len() > MAX_FLOWS || (!gathers(agents) && !is_unreachable) {
             return self.list.take().map(Step::Write);
         }
         let is_asked = !self.asked.is_empty();
         if is_asked && now.since(self.asked_at) <= CONFIRM_MS {
             return None;
         }
-        if is_away {
+        if is_unreachable {
             self.asked.clear();
             return None;
         }
--- a/crates/nutmegkeel_core/src/l4/mute.rs
+++ b/crates/nutmegkeel_core/src/l4/mute.rs
@@ -11,7 +11,7 @@
 /// that nearly every request takes. Eight, because a server that became several times slower still
 /// answers occasionally. A server with two slots and exponentially distributed service times is
 /// silent for so long less than once in ten million requests.
-const TURNS: u64 = 8;
+const SILENT_TURNS: u64 = 8;
 
 /// Minimum time without a single answer, as a multiple of the objective and in percent of the
 /// deadline, whatever the usual time is.
@@ -20,20 +20,20 @@
 /// rare, long kind together while the usual time was learned from many short ones. A request past
 /// its objective is late anyway, and three quarters of the deadline remain for its client's
 /// retries.
-const OBJECTIVES: u64 = 2;
-const DEADLINE_PERCENT: u64 = 25;
+const MIN_OBJECTIVES: u64 = 2;
+const MIN_DEADLINE_PERCENT: u64 = 25;
 
 /// Minimum number of waiting requests. A single one may lack a packet that its client is still
 /// retransmitting.
-const REQUESTS: usize = 2;
+const MIN_REQUESTS: usize = 2;
 
 /// Number of answers from which the usual time is learned before the server is judged. With a
 /// guessed time a cold server would count as mute, and its flows would be reset.
-const ANSWERS: u32 = 16;
+const MIN_ANSWERS: u32 = 16;
 
 /// Longest gap between two checks, in milliseconds. After a longer one this process has stalled,
 /// and may not have read answers that arrived in that time.
-const STANDSTILL_MS: u64 = 400;
+const STALL_MS: u64 = 400;
 
 /// Requests that wait for the server's answer.
 #[derive(Clone, Copy, Debug, Default)]
@@ -51,37 +51,37 @@
 /// Detects a mute server.
 #[derive(Debug)]
 pub struct Detector {
-    answered: Time,
+    answered_at: Time,
     answers: u32,
-    looked: Time,
+    checked_at: Time,
 }
 
 impl Detector {
     /// Creates a detector that starts now.
     #[must_use]
     pub const fn open(now: Time) -> Self {
-        Self { answered: now, answers: 0, looked: now }
+        Self { answered_at: now, answers: 0, checked_at: now }
     }
 
     /// Records that the server answered a request.
     pub const fn record_answer(&mut self, now: Time) {
-        self.answered = now;
+        self.answered_at = now;
         self.answers = self.answers.saturating_add(1);
     }
 
     /// Returns a limit if the server is mute: requests sent to it before this time have waited too
     /// long and must be given up. `most_us` is the time that nearly every request takes.
     pub fn check(&mut self, now: Time, outstanding: Outstanding, most_us: u64) -> Option<Time> {
-        let stood_still = now.since(self.looked) > STANDSTILL_MS;
-        self.looked = now;
-        if stood_still {
-            self.answered = now;
+        let has_stalled = now.since(self.checked_at) > STALL_MS;
+        self.checked_at = now;
+        if has_stalled {
+            self.answered_at = now;
         }
-        let of_deadline_ms = outstanding.deadline_ms * DEADLINE_PERCENT / 100;
-        let least_ms = (OBJECTIVES * outstanding.objective_ms).max(of_deadline_ms);
-        let limit_ms = least_ms.max(TURNS * most_us / 1_000);
-        let silent_since = self.answered.max(outstanding.since?);
-        let is_known = self.answers >= ANSWERS && outstanding.requests >= REQUESTS;
+        let of_deadline_ms = outstanding.deadline_ms * MIN_DEADLINE_PERCENT / 100;
+        let least_ms = (MIN_OBJECTIVES * outstanding.objective_ms).max(of_deadline_ms);
+        let limit_ms = least_ms.max(SILENT_TURNS * most_us / 1_000);
+        let silent_since = self.answered_at.max(outstanding.since?);
+        let is_known = self.answers >= MIN_ANSWERS && outstanding.requests >= MIN_REQUESTS;
         let is_mute = is_known && now.since(silent_since) > limit_ms;
         is_mute.then(|| now.before(limit_ms))
     }
--- a/crates/nutmegkeel_core/src/l4/outlier.rs
+++ b/crates/nutmegkeel_core/src/l4/outlier.rs
@@ -12,16 +12,16 @@
 
 /// Number of broken requests among them that show a fault. One or two occur when the client and the
 /// server close a flow at the same time.
-const BROKEN: u32 = 3;
+const MIN_BROKEN: u32 = 3;
 
 /// First pause, in milliseconds. It doubles each time the server fails again soon after its return.
 const FIRST_PAUSE_MS: u64 = 2_000;
 
 /// Longest pause, in milliseconds. A recovered server goes unused for no longer than this.
-const LONGEST_PAUSE_MS: u64 = 16_000;
+const MAX_PAUSE_MS: u64 = 16_000;
 
 /// Number of consecutive answered requests after which earlier pauses no longer count.
-const CLEARED: u32 = 50;
+const CLEAR_AFTER: u32 = 50;
 
 /// Recent outcomes of one backend server, and whether it is spared.
 #[derive(Debug, Default)]
@@ -30,7 +30,7 @@
     outcomes: u16,
     answered_in_a_row: u32,
     pauses: u32,
-    until: Option<Time>,
+    spared_until: Option<Time>,
 }
 
 impl Detector {
@@ -38,7 +38,7 @@
     pub fn record_answered(&mut self) {
         self.outcomes <<= 1;
         self.answered_in_a_row += 1;
-        if self.answered_in_a_row >= CLEARED {
+        if self.answered_in_a_row >= CLEAR_AFTER {
             self.pauses = 0;
         }
     }
@@ -49,7 +49,7 @@
         const { assert!(WINDOW == u16::BITS, "the outcomes fill their bits") };
         self.outcomes = self.outcomes << 1 | 1;
         self.answered_in_a_row = 0;
-        self.outcomes.count_ones() >= BROKEN && self.spare(now)
+        self.outcomes.count_ones() >= MIN_BROKEN && self.spare(now)
     }
 
     /// Spares the server from now on; returns `false` if it is already spared.
@@ -58,7 +58,7 @@
             return false;
         }
         let pause = FIRST_PAUSE_MS << self.pauses.min(3);
-        self.until = Some(now.after(pause.min(LONGEST_PAUSE_MS)));
+        self.spared_until = Some(now.after(pause.min(MAX_PAUSE_MS)));
         self.pauses += 1;
         self.outcomes = 0;
         true
@@ -67,7 +67,7 @@
     /// Returns whether the server is spared.
     #[must_use]
     pub fn is_failing(&self, now: Time) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.spared_until.is_some_and(|until| now < until)
     }
 
     /// Resets the state, for a new incarnation.
--- a/crates/nutmegkeel_core/src/l4/probe.rs
+++ b/crates/nutmegkeel_core/src/l4/probe.rs
@@ -7,7 +7,7 @@
 use crate::clock::Time;
 
 /// Time after which a probe ends, in milliseconds. The server answers within a millisecond.
-const PROBE_MS: u64 = 1_000;
+const PROBE_TIMEOUT_MS: u64 = 1_000;
 
 /// Time after which a packet that needs an answer gets none any more, in milliseconds. A server
 /// answers within a millisecond, and the packet does not leave the host.
@@ -26,14 +26,14 @@
 #[derive(Debug, Default)]
 pub struct Probes {
     sent: BTreeMap<u32, Probe>,
-    asked: BTreeMap<Flow, Question>,
+    queries: BTreeMap<Flow, Query>,
     last: u32,
     denied: BTreeMap<Flow, Time>,
 }
 
 /// A balancer's query whether the server holds a flow.
 #[derive(Clone, Copy, Debug)]
-struct Question {
+struct Query {
     /// The balancer that sent the query.
     from: Ipv4Addr,
     /// Number of packets with data that were passed to the server.
@@ -60,9 +60,9 @@
 
     /// Like [`Self::insert`], for a balancer that queries whether the server holds the flow.
     pub fn insert_query(&mut self, now: Time, flow: Flow, from: Ipv4Addr, is_request: bool) -> u32 {
-        let before = self.asked.get(&flow).map_or(0, |question| question.requests);
+        let before = self.queries.get(&flow).map_or(0, |query| query.requests);
         let requests = before + u32::from(is_request);
-        self.asked.insert(flow, Question { from, requests, at: now });
+        self.queries.insert(flow, Query { from, requests, at: now });
         self.insert(now, flow, from)
     }
 
@@ -70,32 +70,32 @@
     /// request yet.
     #[must_use]
     pub fn unanswered_requests(&self) -> usize {
-        self.asked.values().filter(|question| question.requests > 0).count()
+        self.queries.values().filter(|query| query.requests > 0).count()
     }
 
     /// Returns the balancer that sent the packet with this probe number.
     pub fn take(&mut self, number: u32) -> Option<Ipv4Addr> {
         let probe = self.sent.remove(&number)?;
-        self.asked.remove(&probe.flow);
+        self.queries.remove(&probe.flow);
         Some(probe.from)
     }
 
     /// Returns the balancer that queried a flow which the server has shown to hold.
     pub fn take_answered(&mut self, flow: &Flow) -> Option<Ipv4Addr> {
-        self.asked.remove(flow).map(|question| question.from)
+        self.queries.remove(flow).map(|query| query.from)
     }
 
     /// Removes and returns the queries that a server would have answered if one were running. A
     /// single packet proves nothing: a server that holds the flow may still be working on the
     /// request.
     pub fn take_unanswered(&mut self, now: Time) -> Vec<(Flow, Ipv4Addr)> {
-        let is_silent = |question: &Question| {
-            question.requests >= ACKNOWLEDGED_AFTER && now.since(question.at) > UNANSWERED_MS
+        let is_silent = |query: &Query| {
+            query.requests >= ACKNOWLEDGED_AFTER && now.since(query.at) > UNANSWERED_MS
         };
-        let silent = self.asked.iter().filter(|(_, question)| is_silent(question));
-        let silent: Vec<_> = silent.map(|(flow, question)| (*flow, question.from)).collect();
+        let silent = self.queries.iter().filter(|(_, query)| is_silent(query));
+        let silent: Vec<_> = silent.map(|(flow, query)| (*flow, query.from)).collect();
         for (flow, _) in &silent {
-            self.asked.remove(flow);
+            self.queries.remove(flow);
         }
         silent
     }
@@ -113,8 +113,8 @@
 
     /// Removes expired entries.
     pub fn expire(&mut self, now: Time) {
-        self.sent.retain(|_, probe| now.since(probe.at) <= PROBE_MS);
-        self.asked.retain(|_, question| now.since(question.at) <= PROBE_MS);
+        self.sent.retain(|_, probe| now.since(probe.at) <= PROBE_TIMEOUT_MS);
+        self.queries.retain(|_, query| now.since(query.at) <= PROBE_TIMEOUT_MS);
         self.denied.retain(|_, at| now.since(*at) <= DENIED_MS);
     }
 }
--- a/crates/nutmegkeel_core/src/l4/server.rs
+++ b/crates/nutmegkeel_core/src/l4/server.rs
@@ -10,16 +10,16 @@
 
 /// Time without a heartbeat after which the backend server is overdue, in percent of the heartbeat
 /// interval. Two and a half intervals, so that one late heartbeat has no effect.
-const MISSING_PERCENT: u64 = 250;
+const OVERDUE_PERCENT: u64 = 250;
 
 /// Maximum number of earlier incarnations to remember. An address is rarely reused more often
 /// within the minute in which a delayed heartbeat may still arrive.
-const RETIRED: usize = 8;
+const MAX_RETIRED: usize = 8;
 
 /// Shortest interval between two heartbeats that were received in time, in percent of the
 /// configured interval. A running server sends them at 90 to 110 percent of it. Heartbeats that a
 /// partition delayed, or that nobody acknowledged, arrive closer together.
-const PAUSE_PERCENT: u64 = 75;
+const MIN_INTERVAL_PERCENT: u64 = 75;
 
 /// One start of a backend server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -108,10 +108,10 @@
 
 /// An incarnation that may be the current one but is not confirmed yet.
 #[derive(Debug)]
-struct Rival {
+struct Unconfirmed {
     incarnation: Incarnation,
     seq: u64,
-    heard: Time,
+    received_at: Time,
 }
 
 /// The current incarnation of a backend server and its earlier ones.
@@ -119,7 +119,7 @@
 pub struct History {
     heartbeat_ms: u64,
     server: Option<Server>,
-    rival: Option<Rival>,
+    unconfirmed: Option<Unconfirmed>,
     /// Earlier incarnations, with the number of the last heartbeat of each.
     retired: BTreeMap<Incarnation, u64>,
 }
@@ -129,7 +129,7 @@
     /// `heartbeat_ms`.
     #[must_use]
     pub const fn open(heartbeat_ms: u64) -> Self {
-        Self { heartbeat_ms, server: None, rival: None, retired: BTreeMap::new() }
+        Self { heartbeat_ms, server: None, unconfirmed: None, retired: BTreeMap::new() }
     }
 
     /// Returns the current incarnation.
@@ -145,7 +145,7 @@
     /// heartbeat.
     #[must_use]
     pub const fn is_contested(&self) -> bool {
-        self.rival.is_some()
+        self.unconfirmed.is_some()
     }
 
     /// Applies a heartbeat.
@@ -153,16 +153,16 @@
         if let Some(server) =
             self.server.as_mut().filter(|server| server.incarnation == beat.incarnation)
         {
-            let heard = repeat(server, now, beat);
-            if heard != Update::Stale {
-                self.rival = None;
+            let update = refresh(server, now, beat);
+            if update != Update::Stale {
+                self.unconfirmed = None;
             }
-            return heard;
+            return update;
         }
         if let Some(last) = self.retired.get(&beat.incarnation) {
-            return self.reconsider(now, beat, *last);
+            return self.reinstate(now, beat, *last);
         }
-        if self.is_doubtful(beat) && !self.shows_life(now, beat) {
+        if self.needs_confirmation(beat) && !self.confirm(now, beat) {
             return Update::Contested;
         }
         self.replace(now, beat)
@@ -192,7 +192,7 @@
     /// Returns whether the server's next heartbeat is overdue.
     #[must_use]
     pub fn is_overdue(&self, now: Time) -> bool {
-        let limit = self.heartbeat_ms * MISSING_PERCENT / 100;
+        let limit = self.heartbeat_ms * OVERDUE_PERCENT / 100;
         self.server.as_ref().is_some_and(|server| now.since(server.last_seen) > limit)
     }
 
@@ -201,7 +201,7 @@
     ///
     /// Guards against a heartbeat that is delayed until its sender has crashed and another server
     /// has started at the same address: applying it would reset the flows of the new server.
-    fn reconsider(&mut self, now: Time, beat: &Heartbeat, last: u64) -> Update {
+    fn reinstate(&mut self, now: Time, beat: &Heartbeat, last: u64) -> Update {
         if beat.seq > last && (self.server.is_none() || self.is_overdue(now)) {
             self.replace(now, beat)
         } else {
@@ -215,7 +215,7 @@
     /// than the current server, or has no start time although a known one has. In the first case
     /// the heartbeat was delayed, or the host's clock was set back. In the others, the sender is a
     /// new server at a reused address, or an unrelated process.
-    fn is_doubtful(&self, beat: &Heartbeat) -> bool {
+    fn needs_confirmation(&self, beat: &Heartbeat) -> bool {
         let present = self.server.as_ref();
         let known = self.retired.keys().chain(present.map(|server| &server.incarnation));
         let latest = known.filter_map(|incarnation| incarnation.started_ms).max();
@@ -227,13 +227,16 @@
     /// interval after its first, while the current server sent none. Only a running server does so:
     /// delayed heartbeats arrive together, and a current server that is alive would have sent its
     /// own.
-    fn shows_life(&mut self, now: Time, beat: &Heartbeat) -> bool {
-        let pause_ms = self.least_pause_ms();
+    fn confirm(&mut self, now: Time, beat: &Heartbeat) -> bool {
+        let interval_ms = self.min_interval_ms();
         let (incarnation, seq) = (&beat.incarnation, beat.seq);
-        if let Some(rival) = self.rival.as_ref().filter(|rival| rival.incarnation == *incarnation) {
-            return seq > rival.seq && now.since(rival.heard) >= pause_ms;
+        if let Some(unconfirmed) =
+            self.unconfirmed.as_ref().filter(|unconfirmed| unconfirmed.incarnation == *incarnation)
+        {
+            return seq > unconfirmed.seq && now.since(unconfirmed.received_at) >= interval_ms;
         }
-        self.rival = Some(Rival { incarnation: incarnation.clone(), seq, heard: now });
+        self.unconfirmed =
+            Some(Unconfirmed { incarnation: incarnation.clone(), seq, received_at: now });
         false
     }
 
@@ -243,8 +246,8 @@
             self.retire(&old);
         }
         self.retired.remove(&beat.incarnation);
-        self.rival = None;
-        self.server = Some(Server::new(now, beat, self.is_first_heard(now, beat)));
+        self.unconfirmed = None;
+        self.server = Some(Server::new(now, beat, self.is_first_seen(now, beat)));
         if is_first { Update::First } else { Update::Replaced }
     }
 
@@ -257,25 +260,25 @@
     /// that is not certain which flows its server holds makes balancers query the server about
     /// every lost flow. The age is computed from the host's clock, which both processes read. If
     /// the clock was set back, the start lies in the future and proves nothing.
-    fn is_first_heard(&self, now: Time, beat: &Heartbeat) -> bool {
+    fn is_first_seen(&self, now: Time, beat: &Heartbeat) -> bool {
         let started = beat.incarnation.started_ms;
         let age_ms = started.and_then(|started| now.millis().checked_sub(started));
-        beat.seq <= 1 || age_ms.is_some_and(|age_ms| age_ms < self.least_pause_ms())
+        beat.seq <= 1 || age_ms.is_some_and(|age_ms| age_ms < self.min_interval_ms())
     }
 
-    const fn least_pause_ms(&self) -> u64 {
-        self.heartbeat_ms * PAUSE_PERCENT / 100
+    const fn min_interval_ms(&self) -> u64 {
+        self.heartbeat_ms * MIN_INTERVAL_PERCENT / 100
     }
 
     fn retire(&mut self, old: &Server) {
-        if self.retired.len() >= RETIRED {
+        if self.retired.len() >= MAX_RETIRED {
             self.retired.pop_first();
         }
         self.retired.insert(old.incarnation.clone(), old.seq);
     }
 }
 
-fn repeat(server: &mut Server, now: Time, beat: &Heartbeat) -> Update {
+fn refresh(server: &mut Server, now: Time, beat: &Heartbeat) -> Update {
     if beat.seq <= server.seq {
         return Update::Stale;
     }
--- a/crates/nutmegkeel_core/src/l4/speed.rs
+++ b/crates/nutmegkeel_core/src/l4/speed.rs
@@ -13,7 +13,7 @@
 
 /// Minimum number of answers in the window. A few percent of the requests may take seven times as
 /// long as the others; with fewer answers some of those together would make a server look slow.
-const ANSWERS: u64 = 24;
+const MIN_ANSWERS: u64 = 24;
 
 /// Number of answers that show that a server has become fast again. It is smaller, because a slow
 /// server gets few requests. A slow server whose service times vary widely rarely has so many short
@@ -22,7 +22,7 @@
 
 /// Minimum length of the window, in milliseconds, so that one cluster of long requests does not
 /// make a server look slow.
-const SHORTEST_MS: u64 = 500;
+const MIN_WINDOW_MS: u64 = 500;
 
 /// Maximum length of the window, in milliseconds, and upper limit of the service time. Clients have
 /// given up by then, so a slower server might as well never answer.
@@ -33,7 +33,7 @@
 
 /// Longest gap between two updates, in milliseconds. After a longer one this process has stalled,
 /// and does not know for how long the slots were busy in that time.
-const STANDSTILL_MS: u64 = 400;
+const STALL_MS: u64 = 400;
 
 /// Work of the slots, and answers, within a span.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -62,7 +62,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Span {
-    began: Time,
+    started_at: Time,
     work: Work,
 }
 
@@ -71,7 +71,7 @@
 pub struct Meter {
     /// Number of busy slots since the last update.
     working: u64,
-    looked: Time,
+    updated_at: Time,
     /// Spans of the window, the oldest first.
     spans: VecDeque<Span>,
     total: Work,
@@ -82,7 +82,7 @@
     #[must_use]
     pub const fn open(now: Time) -> Self {
         let total = Work { slot_ms: 0, answers: 0 };
-        Self { working: 0, looked: now, spans: VecDeque::new(), total }
+        Self { working: 0, updated_at: now, spans: VecDeque::new(), total }
     }
 
     /// Restarts the measurement, because another server runs or the server's warm-up has ended.
@@ -98,15 +98,15 @@
 
     /// Records the number of slots that are busy from now on.
     pub fn record_working(&mut self, now: Time, working: u64) {
-        let passed_ms = now.since(self.looked);
-        if passed_ms > STANDSTILL_MS {
+        let passed_ms = now.since(self.updated_at);
+        if passed_ms > STALL_MS {
             self.clear();
         } else {
             self.add(now, Work { slot_ms: passed_ms * self.working, answers: 0 });
         }
-        self.looked = now;
+        self.updated_at = now;
         self.working = working;
-        self.forget(now);
+        self.drop_old(now);
     }
 
     /// Returns the time that a slot works on a request, in milliseconds; zero if it is not known.
@@ -115,7 +115,7 @@
     /// answers: by its earlier answers it would still look fast.
     #[must_use]
     pub fn service_ms(&self) -> u16 {
-        if self.total.answers < ANSWERS && self.total.slot_ms < MAX_WINDOW_MS {
+        if self.total.answers < MIN_ANSWERS && self.total.slot_ms < MAX_WINDOW_MS {
             return 0;
         }
         let service_ms = self.total.service_ms();
@@ -139,15 +139,16 @@
     fn add(&mut self, now: Time, work: Work) {
         self.total = self.total.plus(work);
         match self.spans.back_mut() {
-            Some(last) if now.since(last.began) < SPAN_MS => last.work = last.work.plus(work),
-            _ => self.spans.push_back(Span { began: now, work }),
+            Some(last) if now.since(last.started_at) < SPAN_MS => last.work = last.work.plus(work),
+            _ => self.spans.push_back(Span { started_at: now, work }),
         }
     }
 
     /// Removes spans that are too old, and then the oldest answers with the work before them while
     /// the rest is enough.
-    fn forget(&mut self, now: Time) {
-        while self.spans.front().is_some_and(|oldest| now.since(oldest.began) > MAX_WINDOW_MS) {
+    fn drop_old(&mut self, now: Time) {
+        while self.spans.front().is_some_and(|oldest| now.since(oldest.started_at) > MAX_WINDOW_MS)
+        {
             self.drop_oldest(1);
         }
         while let Some(first) = self.spans.iter().position(|span| span.work.answers > 0)
@@ -159,8 +160,8 @@
 
     fn is_enough_without(&self, now: Time, count: usize) -> bool {
         let dropped = self.spans.iter().take(count).map(|span| span.work.answers).sum::<u64>();
-        let next = self.spans.get(count).map_or(now, |span| span.began);
-        self.total.answers - dropped >= ANSWERS && now.since(next) >= SHORTEST_MS
+        let next = self.spans.get(count).map_or(now, |span| span.started_at);
+        self.total.answers - dropped >= MIN_ANSWERS && now.since(next) >= MIN_WINDOW_MS
     }
 
     fn drop_oldest(&mut self, count: usize) {
--- a/crates/nutmegkeel_core/src/l4/table.rs
+++ b/crates/nutmegkeel_core/src/l4/table.rs
@@ -110,7 +110,7 @@
     /// Records a client's packet that does not go to the server yet.
     pub fn record_waiting(&mut self, now: Time, head: &Head) {
         self.update(head.flow, |held| {
-            held.used = now;
+            held.last_used = now;
             held.client_ack = head.ack;
         });
     }
@@ -147,7 +147,7 @@
         let behind = self.load.busy;
         self.update(head.flow, |held| {
             held.stage = Stage::Open;
-            held.used = now;
+            held.last_used = now;
             held.client_ack = head.ack;
             if held.brings_data(head) {
                 held.client_next = Some(head.next_seq());
@@ -157,7 +157,7 @@
                 }
             }
             held.client_fin |= head.flags.fin;
-            held.note_end(now, head.flags.rst);
+            held.record_end(now, head.flags.rst);
         });
     }
 
@@ -165,8 +165,8 @@
     pub fn record_server(&mut self, now: Time, head: &Head) -> Option<Outcome> {
         let mut outcome = None;
         self.update(head.flow, |held| {
-            held.used = now;
-            held.server_heard = now;
+            held.last_used = now;
+            held.server_last_seen = now;
             if head.flags.syn && matches!(held.stage, Stage::Opening(_)) {
                 held.stage = Stage::Opening(Some(head.seq));
             }
@@ -180,7 +180,7 @@
                 outcome = Some(Outcome::Broken { behind: held.request_behind });
             }
             held.server_fin |= head.flags.fin;
-            held.note_end(now, head.flags.rst);
+            held.record_end(now, head.flags.rst);
         });
         outcome
     }
@@ -223,15 +223,17 @@
     /// Removes and returns the open flows on which the server has sent nothing for `silent_ms`.
     pub fn take_silent(&mut self, now: Time, silent_ms: u64) -> Vec<(Flow, Held)> {
         let is_silent = |held: &Held| {
-            held.stage == Stage::Open && !held.is_over() && now.since(held.server_heard) > silent_ms
+            held.stage == Stage::Open
+                && !held.is_over()
+                && now.since(held.server_last_seen) > silent_ms
         };
         self.take_if(is_silent)
     }
 
-    fn take_if(&mut self, is_meant: impl Fn(&Held) -> bool) -> Vec<(Flow, Held)> {
-        let meant = self.flows.iter().filter(|(_, held)| is_meant(held));
-        let meant: Vec<Flow> = meant.map(|(flow, _)| *flow).collect();
-        meant.into_iter().filter_map(|flow| Some((flow, self.remove(&flow)?))).collect()
+    fn take_if(&mut self, predicate: impl Fn(&Held) -> bool) -> Vec<(Flow, Held)> {
+        let matching = self.flows.iter().filter(|(_, held)| predicate(held));
+        let matching: Vec<Flow> = matching.map(|(flow, _)| *flow).collect();
+        matching.into_iter().filter_map(|flow| Some((flow, self.remove(&flow)?))).collect()
     }
 
     /// Removes expired flows, and requests that no client waits for any more.
--- a/crates/nutmegkeel_core/src/l4/table/held.rs
+++ b/crates/nutmegkeel_core/src/l4/table/held.rs
@@ -40,8 +40,8 @@
     /// Whether the flow's request waits at the agent for a slot, or will when it arrives.
     pub(super) waits: bool,
     pub(super) client_next: Option<u32>,
-    pub(super) used: Time,
-    pub(super) server_heard: Time,
+    pub(super) last_used: Time,
+    pub(super) server_last_seen: Time,
     pub(super) request_since: Option<Time>,
     /// Number of requests that were in progress when this one arrived.
     pub(super) request_behind: usize,
@@ -59,8 +59,8 @@
             demand: None,
             waits: false,
             client_next: None,
-            used: now,
-            server_heard: now,
+            last_used: now,
+            server_last_seen: now,
             request_since: None,
             request_behind: 0,
             client_fin: false,
@@ -106,7 +106,7 @@
         head.len > 0 && self.client_next.is_none_or(is_new)
     }
 
-    pub(super) fn note_end(&mut self, now: Time, reset: bool) {
+    pub(super) fn record_end(&mut self, now: Time, reset: bool) {
         if reset || (self.client_fin && self.server_fin) {
             self.ended.get_or_insert(now);
             self.request_since = None;
@@ -114,7 +114,7 @@
     }
 
     pub(super) fn is_expired(&self, now: Time) -> bool {
-        let idle = now.since(self.used);
+        let idle = now.since(self.last_used);
         match (self.stage, self.ended) {
             (_, Some(ended)) => now.since(ended) > ENDED_MS,
             (Stage::Opening(_), None) if !self.waits => idle > OPENING_MS,
