--- a/crates/nutmegkeel_core/tests/l4/agent.rs
+++ b/crates/nutmegkeel_core/tests/l4/agent.rs
@@ -8,11 +8,11 @@
     incarnation, load, offer, opening, roster,
 };
 
-const WAITS: Insistence = Insistence::IfInTime;
-const FEED: Demand = demand(false);
+const IF_IN_TIME: Insistence = Insistence::IfInTime;
+const IDEMPOTENT: Demand = demand(false);
 
 fn open(flow: Flow, copies: u32, insistence: Insistence) -> Event {
-    let offer = Offer { insistence, ..offer(FEED) };
+    let offer = Offer { insistence, ..offer(IDEMPOTENT) };
     Event::Open { from: BALANCER, head: opening(flow, copies), offer }
 }
 
@@ -25,7 +25,7 @@
 
 /// Opens a flow at the server and sends its first request.
 fn request(agent: &mut Agent, now_ms: u64, flow: Flow) {
-    agent.handle(at(now_ms), open(flow, 0, WAITS));
+    agent.handle(at(now_ms), open(flow, 0, IF_IN_TIME));
     agent.handle(at(now_ms), Event::FromServer(accepted(flow, 500)));
     let head = data(flow, 1_001, 501);
     agent.handle(at(now_ms), Event::Carry { from: BALANCER, head, known: false });
@@ -55,20 +55,20 @@
 }
 
 #[test]
-fn a_draining_server_gets_no_opening_from_that_moment() {
+fn a_draining_server_gets_no_more_openings() {
     let mut agent = serving();
     let mut beat = heartbeat("a", 2);
     beat.draining = true;
     agent.handle(at(1_000), Event::Heartbeat(beat));
 
-    let fresh = agent.handle(at(1_001), open(flow(1), 0, WAITS));
+    let fresh = agent.handle(at(1_001), open(flow(1), 0, IF_IN_TIME));
 
     assert_eq!(refusal(&fresh), Some(Reason::Leaving));
     assert_eq!(agent.state(at(1_002)), State::Closed);
 }
 
 #[test]
-fn open_flows_of_a_draining_server_go_on() {
+fn open_flows_of_a_draining_server_continue() {
     let mut agent = serving();
     request(&mut agent, 500, flow(1));
     let mut beat = heartbeat("a", 2);
@@ -86,7 +86,7 @@
 #[test]
 fn an_opening_for_another_service_never_reaches_the_server() {
     let mut agent = serving();
-    let offer = Offer { service: Service::named("vault"), ..offer(FEED) };
+    let offer = Offer { service: Service::named("vault"), ..offer(IDEMPOTENT) };
     let wrong = Event::Open { from: BALANCER, head: opening(flow(1), 0), offer };
 
     let actions = agent.handle(at(10), wrong);
@@ -96,34 +96,34 @@
 }
 
 #[test]
-fn of_two_servers_that_accepted_the_flow_is_at_the_one_acknowledged() {
+fn a_flow_that_two_servers_accepted_is_at_the_acknowledged_one() {
     let mut agent = serving();
-    agent.handle(at(10), open(flow(1), 0, WAITS));
+    agent.handle(at(10), open(flow(1), 0, IF_IN_TIME));
     agent.handle(at(11), Event::FromServer(accepted(flow(1), 500)));
-    let of_another = data(flow(1), 1_001, 900_000);
+    let of_other_server = data(flow(1), 1_001, 900_000);
 
     let other =
-        agent.handle(at(12), Event::Carry { from: BALANCER, head: of_another, known: false });
+        agent.handle(at(12), Event::Carry { from: BALANCER, head: of_other_server, known: false });
     let head = data(flow(1), 1_001, 501);
-    let ours = agent.handle(at(13), Event::Carry { from: BALANCER, head, known: false });
+    let own = agent.handle(at(13), Event::Carry { from: BALANCER, head, known: false });
 
     assert_eq!(refusal(&other), Some(Reason::NotHeld));
-    assert!(to_server(&ours), "{ours:?}");
+    assert!(to_server(&own), "{own:?}");
 }
 
 /// Guards against two servers answering one flow: both accepted a copy of its opening, with
 /// sequence numbers close to each other, and the agent of the second, not certain of its server's
 /// flows, probed it.
 #[test]
-fn a_server_is_not_asked_for_a_flow_that_another_server_has() {
+fn a_server_is_not_probed_for_a_flow_of_another_server() {
     let mut agent = agent();
     agent.handle(at(0), Event::Heartbeat(heartbeat("a", 9)));
-    agent.handle(at(10), open(flow(1), 0, WAITS));
+    agent.handle(at(10), open(flow(1), 0, IF_IN_TIME));
     agent.handle(at(11), Event::FromServer(accepted(flow(1), 500)));
-    let of_another = data(flow(1), 1_001, 900_000);
+    let of_other_server = data(flow(1), 1_001, 900_000);
 
     let actions =
-        agent.handle(at(12), Event::Carry { from: BALANCER, head: of_another, known: false });
+        agent.handle(at(12), Event::Carry { from: BALANCER, head: of_other_server, known: false });
 
     assert_eq!(refusal(&actions), Some(Reason::NotHeld));
     assert!(!to_server(&actions), "{actions:?}");
@@ -132,9 +132,9 @@
 /// Guards against the reset of a flow of a healthy server: another agent, which has only a copy of
 /// the opening, claims the flow and dies.
 #[test]
-fn an_agent_with_a_copy_of_the_opening_does_not_say_that_it_holds_the_flow() {
+fn an_agent_with_only_an_opening_does_not_claim_the_flow() {
     let mut agent = serving();
-    agent.handle(at(10), open(flow(1), 0, WAITS));
+    agent.handle(at(10), open(flow(1), 0, IF_IN_TIME));
     agent.handle(at(11), Event::FromServer(accepted(flow(1), 500)));
 
     let actions = agent.handle(at(20), Event::Locate(BALANCER, flow(1)));
@@ -146,7 +146,7 @@
 /// Guards against a flow that is reported as lost although its server holds it: a replaced agent
 /// process must not assume before the first heartbeat that there is no server.
 #[test]
-fn a_restarted_agent_asks_its_server_before_the_first_heartbeat() {
+fn a_restarted_agent_probes_its_server_before_the_first_heartbeat() {
     let mut agent = agent();
     let head = data(flow(1), 1_001, 501);
 
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_packet_that_bounces_goes_back_to_the_balancer_that_asked() {
+fn a_bounced_packet_is_declined_to_the_balancer_that_sent_it() {
     let mut agent = agent();
     let head = data(flow(1), 1_001, 501);
     let asked = agent.handle(at(100), Event::Carry { from: BALANCER, head, known: false });
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_server_that_is_asked_once_and_denies_is_not_asked_again() {
+fn a_server_is_not_probed_again_for_a_flow_that_it_denied() {
     let mut agent = agent();
     let head = data(flow(1), 1_001, 501);
     let asked = agent.handle(at(100), Event::Carry { from: BALANCER, head, known: false });
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_flow_that_the_server_shows_to_hold_is_announced_to_who_asked() {
+fn a_flow_found_by_a_probe_is_reported_to_the_balancer() {
     let mut agent = agent();
     let head = data(flow(1), 1_001, 501);
     agent.handle(at(100), Event::Carry { from: BALANCER, head, known: false });
@@ -189,11 +189,11 @@
     answer.flags.syn = false;
     let actions = agent.handle(at(101), Event::FromServer(answer));
 
-    let tells = |action: &Action| {
+    let reports_holding = |action: &Action| {
         matches!(action, Action::Send(to, Message::Holds { flow: held, .. })
             if *to == BALANCER && *held == flow(1))
     };
-    assert!(actions.iter().any(tells), "{actions:?}");
+    assert!(actions.iter().any(reports_holding), "{actions:?}");
 }
 
 /// Guards against resets after a replacement of the agent's process: the first heartbeat that the
@@ -226,7 +226,7 @@
 fn a_bounced_copy_of_an_opening_does_not_end_the_flow() {
     let mut agent = serving();
     request(&mut agent, 100, flow(1));
-    let copy = agent.handle(at(300), open(flow(1), 1, WAITS));
+    let copy = agent.handle(at(300), open(flow(1), 1, IF_IN_TIME));
 
     agent.handle(at(301), Event::Bounced(bounced(opening(flow(1), 1), tag(&copy))));
 
@@ -238,10 +238,10 @@
 #[test]
 fn a_server_that_leaves_openings_unanswered_gets_no_more() {
     let mut agent = serving();
-    agent.handle(at(1_000), open(flow(1), 0, WAITS));
+    agent.handle(at(1_000), open(flow(1), 0, IF_IN_TIME));
 
     agent.handle(at(1_200), Event::Tick);
-    let actions = agent.handle(at(1_201), open(flow(1), 1, WAITS));
+    let actions = agent.handle(at(1_201), open(flow(1), 1, IF_IN_TIME));
 
     assert_eq!(refusal(&actions), Some(Reason::Leaving));
 }
@@ -249,20 +249,20 @@
 /// Guards against clients that wait until their own timeout because the server died after their
 /// request: openings stay unanswered and heartbeats are missing.
 #[test]
-fn clients_of_a_dead_server_are_told() {
+fn flows_of_a_dead_server_are_reset() {
     let mut agent = serving();
     request(&mut agent, 100, flow(1));
-    agent.handle(at(500), open(flow(2), 0, WAITS));
+    agent.handle(at(500), open(flow(2), 0, IF_IN_TIME));
     agent.handle(at(700), Event::Tick);
 
     let actions = agent.handle(at(3_200), Event::Tick);
 
-    let told = Action::Reset { flow: flow(1), seq: 501 };
-    assert!(actions.contains(&told), "{actions:?}");
+    let expected = Action::Reset { flow: flow(1), seq: 501 };
+    assert!(actions.contains(&expected), "{actions:?}");
 }
 
 #[test]
-fn an_idle_slot_is_all_that_counts_for_the_first_tries() {
+fn a_first_attempt_needs_an_idle_slot() {
     let mut agent = serving();
     for port in 1..=4 {
         request(&mut agent, 100, flow(port));
@@ -299,7 +299,7 @@
     for port in 1..=8 {
         request(&mut agent, 100, flow(port));
     }
-    agent.handle(at(101), open(flow(9), 0, WAITS));
+    agent.handle(at(101), open(flow(9), 0, IF_IN_TIME));
     agent.handle(at(102), Event::FromServer(accepted(flow(9), 500)));
     agent
 }
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn a_balancer_is_told_where_a_flow_is_whose_request_waits() {
+fn a_flow_whose_request_waits_is_reported_to_the_balancer() {
     let mut agent = saturated();
 
     let head = data(flow(9), 1_001, 501);
@@ -355,7 +355,7 @@
 }
 
 #[test]
-fn requests_that_wait_are_refused_when_their_server_has_ended() {
+fn waiting_requests_are_refused_when_the_server_has_ended() {
     let mut agent = with_waiting_request();
 
     let actions = agent.handle(at(120), Event::Deregistered(incarnation("a")));
@@ -366,7 +366,7 @@
 /// Guards against the reset of an open flow: the server starts to drain while the flow's first
 /// request waits. A draining server still serves the flows that it has accepted.
 #[test]
-fn requests_that_wait_stay_with_a_draining_server() {
+fn waiting_requests_stay_with_a_draining_server() {
     let mut agent = with_waiting_request();
     let mut beat = heartbeat("a", 2);
     beat.draining = true;
@@ -380,7 +380,7 @@
 
 /// Guards against the loss of waiting requests when the agent's process is replaced.
 #[test]
-fn an_agent_that_leaves_hands_all_waiting_requests_to_the_server() {
+fn a_leaving_agent_releases_all_waiting_requests_to_the_server() {
     let mut agent = with_waiting_request();
 
     let actions = agent.handle(at(120), Event::Leave);
@@ -403,7 +403,7 @@
 }
 
 #[test]
-fn what_must_run_once_does_not_wait_behind_others() {
+fn a_request_that_must_run_once_does_not_wait_at_the_agent() {
     let mut agent = serving();
     for port in 1..=8 {
         request(&mut agent, 100, flow(port));
@@ -421,7 +421,7 @@
 }
 
 #[test]
-fn an_agent_whose_server_ended_says_that_it_is_gone() {
+fn a_leaving_agent_without_a_server_is_gone() {
     let mut agent = serving();
     agent.handle(at(100), Event::Deregistered(incarnation("a")));
 
@@ -431,7 +431,7 @@
 }
 
 #[test]
-fn an_agent_that_leaves_its_server_behind_restarts() {
+fn a_leaving_agent_with_a_server_is_restarting() {
     let mut agent = serving();
 
     agent.handle(at(200), Event::Leave);
@@ -460,7 +460,7 @@
 /// a backend server cannot report that it holds nothing. It can after one and a half heartbeat
 /// intervals.
 #[test]
-fn an_agent_that_hears_no_server_holds_nothing() {
+fn an_agent_without_heartbeats_reports_flows_as_absent() {
     let mut agent = agent();
 
     let actions = agent.handle(at(1_801), Event::Locate(BALANCER, flow(1)));
@@ -472,24 +472,24 @@
 /// Guards against resets of all flows of a draining balancer: without announcements it considers
 /// the agents dead after two seconds, while it still forwards packets.
 #[test]
-fn an_agent_goes_on_speaking_to_a_balancer_that_leaves() {
+fn an_agent_still_announces_itself_to_a_leaving_balancer() {
     let mut agent = serving();
     let roster = Roster { leaving: true, ..roster(1, &[], 1) };
     agent.handle(at(1_000), Event::Gossip(BALANCER, roster));
 
     let actions = agent.handle(at(1_400), Event::Tick);
 
-    let speaks = |action: &Action| matches!(action, Action::Send(to, Message::Announce(_)) if *to == BALANCER);
-    assert!(actions.iter().any(speaks), "{actions:?}");
+    let announces = |action: &Action| matches!(action, Action::Send(to, Message::Announce(_)) if *to == BALANCER);
+    assert!(actions.iter().any(announces), "{actions:?}");
 }
 
 /// Returns whether a balancer is notified that a flow is not here.
-fn absent(actions: &[Action]) -> bool {
+fn reports_absent(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Send(_, Message::Absent { .. })))
 }
 
 /// Sends copies of one request at these times, none of which is answered.
-fn request_again(agent: &mut Agent, times: &[u64]) {
+fn send_copies(agent: &mut Agent, times: &[u64]) {
     let head = data(flow(1), 1_001, 501);
     for time in times {
         agent.handle(at(*time), Event::Carry { from: BALANCER, head, known: false });
@@ -500,37 +500,36 @@
 /// a server passes each probe to nothing. A server that holds a flow acknowledges every second
 /// packet of it.
 #[test]
-fn an_agent_whose_server_leaves_a_request_and_its_copies_unanswered_says_that_the_flow_is_not_here()
-{
+fn a_flow_is_absent_if_the_server_leaves_a_request_and_its_copies_unanswered() {
     let mut agent = agent();
-    request_again(&mut agent, &[100, 300, 700]);
+    send_copies(&mut agent, &[100, 300, 700]);
 
     let early = agent.handle(at(800), Event::Tick);
     let late = agent.handle(at(900), Event::Tick);
 
-    assert!(!absent(&early), "{early:?}");
-    assert!(absent(&late), "{late:?}");
+    assert!(!reports_absent(&early), "{early:?}");
+    assert!(reports_absent(&late), "{late:?}");
 }
 
 /// Guards against resets of open flows after a restart of the agent: its server may still be
 /// working on the first request that was probed, so a short silence proves nothing.
 #[test]
-fn a_server_at_work_on_a_request_is_not_taken_for_one_that_is_gone() {
+fn a_server_that_works_on_a_request_is_not_considered_absent() {
     let mut agent = agent();
-    request_again(&mut agent, &[100, 300]);
+    send_copies(&mut agent, &[100, 300]);
 
     let working = agent.handle(at(600), Event::Tick);
     let other = agent.handle(at(601), Event::Locate(BALANCER, flow(2)));
 
     let unsure = Message::Unsure { flow: flow(2), load: agent.load() };
-    assert!(!absent(&working), "{working:?}");
+    assert!(!reports_absent(&working), "{working:?}");
     assert_eq!(other, [Action::Send(BALANCER, unsure)]);
 }
 
 /// Guards against the reset of an open flow: a balancer asks for the flow just after the agent's
 /// process was replaced, before the agent knows its server.
 #[test]
-fn an_agent_that_does_not_know_its_server_yet_says_only_that_it_is_unsure() {
+fn an_agent_without_a_known_server_is_unsure_about_a_flow() {
     let mut agent = agent();
 
     let actions = agent.handle(at(100), Event::Locate(BALANCER, flow(1)));
@@ -540,7 +539,7 @@
 }
 
 /// An agent with flow 9 open and idle, whose server has all slots busy with other flows.
-fn saturated_beside_an_open_flow() -> Agent {
+fn saturated_with_open_flow() -> Agent {
     let mut agent = serving();
     request(&mut agent, 100, flow(9));
     answer(&mut agent, 150, 9..=9);
@@ -554,7 +553,7 @@
 /// server's own queue is answered in the order of arrival.
 #[test]
 fn a_request_on_an_open_flow_waits_for_a_slot_too() {
-    let mut agent = saturated_beside_an_open_flow();
+    let mut agent = saturated_with_open_flow();
     let head = data(flow(9), 1_101, 1_101);
 
     let waits = agent.handle(at(210), Event::Carry { from: BALANCER, head, known: true });
@@ -568,25 +567,25 @@
 /// dropped.
 #[test]
 fn a_request_on_an_open_flow_that_waited_too_long_resets_nothing() {
-    let mut agent = saturated_beside_an_open_flow();
+    let mut agent = saturated_with_open_flow();
     let head = data(flow(9), 1_101, 1_101);
     agent.handle(at(210), Event::Carry { from: BALANCER, head, known: true });
 
     let late = agent.handle(at(2_800), Event::Tick);
     agent.handle(at(20_000), Event::Tick);
     let next = data(flow(9), 1_201, 1_101);
-    let goes_on =
+    let continued =
         agent.handle(at(20_000), Event::Carry { from: BALANCER, head: next, known: true });
 
     assert!(late.contains(&Action::Forget(flow(9))), "{late:?}");
     assert!(!late.contains(&Action::Reset { flow: flow(9), seq: 1_101 }), "{late:?}");
-    assert!(to_server(&goes_on), "{goes_on:?}");
+    assert!(to_server(&continued), "{continued:?}");
 }
 
 /// Guards against clients that wait for answers from a crashed server: it restarts with its old id,
 /// and its heartbeats are taken for delayed ones because their sequence numbers start again.
 #[test]
-fn clients_of_a_server_that_is_back_under_its_old_id_are_told_at_once() {
+fn flows_of_a_server_that_restarts_with_its_old_id_are_reset_at_once() {
     let mut agent = agent();
     agent.handle(at(0), Event::Heartbeat(heartbeat_of("a", 5_000, 40)));
     request(&mut agent, 100, flow(1));
@@ -601,18 +600,18 @@
 /// Guards against openings that reach a server of the wrong service: another server may have
 /// started at this address, and the next heartbeat decides.
 #[test]
-fn an_agent_whose_server_is_contested_takes_no_openings_until_the_next_heartbeat() {
+fn an_agent_with_a_contested_server_accepts_no_openings_until_the_next_heartbeat() {
     let mut agent = serving();
     let mut foreign = heartbeat("x", 1);
     foreign.service = Service::named("elsewhere");
 
     agent.handle(at(600), Event::Heartbeat(foreign));
-    let refused = agent.handle(at(700), open(flow(1), 0, WAITS));
+    let refused = agent.handle(at(700), open(flow(1), 0, IF_IN_TIME));
     agent.handle(at(1_200), Event::Heartbeat(heartbeat("a", 2)));
-    let taken = agent.handle(at(1_300), open(flow(2), 0, WAITS));
+    let admitted = agent.handle(at(1_300), open(flow(2), 0, IF_IN_TIME));
 
     assert!(!to_server(&refused), "{refused:?}");
-    assert!(to_server(&taken), "{taken:?}");
+    assert!(to_server(&admitted), "{admitted:?}");
 }
 
 /// Guards against idle servers after a power loss: a balancer that missed an agent's first
@@ -622,8 +621,8 @@
     let mut agent = agent();
     agent.handle(at(3), Event::Heartbeat(heartbeat("a", 1)));
     let announced = |actions: &[Action]| {
-        let is_word = |action: &Action| matches!(action, Action::Send(BALANCER, Message::Announce(word)) if word.state == State::Ready);
-        actions.iter().any(is_word)
+        let is_announcement = |action: &Action| matches!(action, Action::Send(BALANCER, Message::Announce(announcement)) if announcement.state == State::Ready);
+        actions.iter().any(is_announcement)
     };
 
     let early = announced(&agent.handle(at(100), Event::Tick));
@@ -631,9 +630,9 @@
     let balancers = vec![BALANCER];
     let roster = roster(1, &balancers, 1);
     agent.handle(at(210), Event::Gossip(BALANCER, roster.clone()));
-    let acquainted = announced(&agent.handle(at(300), Event::Tick));
+    let introduced = announced(&agent.handle(at(300), Event::Tick));
     agent.handle(at(310), Event::Gossip(BALANCER, Roster { leaving: true, ..roster }));
     let leaving = announced(&agent.handle(at(400), Event::Tick));
 
-    assert_eq!((early, again, acquainted, leaving), (true, true, false, true));
+    assert_eq!((early, again, introduced, leaving), (true, true, false, true));
 }
--- a/crates/nutmegkeel_core/tests/l4/checkpoint.rs
+++ b/crates/nutmegkeel_core/tests/l4/checkpoint.rs
@@ -5,7 +5,7 @@
 use crate::fixture::{BALANCER, accepted, agent, at, data, flow, heartbeat, incarnation, roster};
 
 /// An earlier process's checkpoint with one flow at this server.
-fn left_by(server: &str, flow: Flow, ack: u32) -> Event {
+fn recovered_from(server: &str, flow: Flow, ack: u32) -> Event {
     Event::Recovered(Some(Checkpoint {
         number: 1,
         server: incarnation(server),
@@ -39,10 +39,10 @@
 /// server have restarted, no process knows the flow, and its next request starts a search of all
 /// agents.
 #[test]
-fn clients_of_a_host_that_lost_power_are_told_as_soon_as_its_new_server_is_known() {
+fn flows_lost_with_a_host_are_reset_as_soon_as_its_new_server_is_known() {
     let mut agent = agent();
 
-    let before = agent.handle(at(100), left_by("a", flow(1), 700));
+    let before = agent.handle(at(100), recovered_from("a", flow(1), 700));
     let after = agent.handle(at(150), Event::Heartbeat(heartbeat("b", 1)));
 
     assert!(before.is_empty(), "{before:?}");
@@ -50,11 +50,11 @@
 }
 
 #[test]
-fn the_order_of_list_and_heartbeat_does_not_matter() {
+fn the_order_of_checkpoint_and_heartbeat_does_not_matter() {
     let mut agent = agent();
     agent.handle(at(100), Event::Heartbeat(heartbeat("b", 1)));
 
-    let actions = agent.handle(at(300), left_by("a", flow(1), 700));
+    let actions = agent.handle(at(300), recovered_from("a", flow(1), 700));
 
     assert!(actions.contains(&reset_of(flow(1), 700)), "{actions:?}");
 }
@@ -63,13 +63,13 @@
 /// restarted. By the time that the checkpoint is read, the server has sent more heartbeats than a
 /// new one.
 #[test]
-fn a_list_that_the_store_hands_out_late_still_tells_its_clients() {
+fn a_checkpoint_that_is_read_late_still_resets_its_flows() {
     let mut agent = agent();
     for seq in 2..=5 {
         agent.handle(at(200 + 1_200 * seq), Event::Heartbeat(heartbeat("b", seq)));
     }
 
-    let actions = agent.handle(at(7_000), left_by("a", flow(1), 700));
+    let actions = agent.handle(at(7_000), recovered_from("a", flow(1), 700));
 
     assert!(actions.contains(&reset_of(flow(1), 700)), "{actions:?}");
 }
@@ -77,9 +77,9 @@
 /// Guards against resets of all flows of a healthy server after its agent's process was replaced:
 /// the checkpoint of the earlier process lists flows that are still open.
 #[test]
-fn flows_of_the_same_incarnation_are_left_alone() {
+fn flows_of_the_same_incarnation_are_not_reset() {
     let mut agent = agent();
-    agent.handle(at(100), left_by("a", flow(1), 700));
+    agent.handle(at(100), recovered_from("a", flow(1), 700));
 
     let actions = agent.handle(at(150), Event::Heartbeat(heartbeat("a", 40)));
 
@@ -89,9 +89,9 @@
 /// Guards against resets by a delayed heartbeat: the heartbeat of an earlier incarnation arrives
 /// first at a new process and looks like another server.
 #[test]
-fn a_late_heartbeat_of_an_older_incarnation_resets_nothing() {
+fn a_delayed_heartbeat_of_an_older_incarnation_resets_nothing() {
     let mut agent = agent();
-    agent.handle(at(100), left_by("b", flow(1), 700));
+    agent.handle(at(100), recovered_from("b", flow(1), 700));
 
     let actions = agent.handle(at(150), Event::Heartbeat(heartbeat("a", 12)));
 
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn open_flows_are_noted_once() {
+fn open_flows_are_saved_once() {
     let mut agent = with_open_flow(0);
     let early = saved(agent.handle(at(900), Event::Tick));
 
@@ -107,14 +107,14 @@
     let second = saved(agent.handle(at(2 * MIN_INTERVAL_MS + 200), Event::Tick));
 
     assert_eq!(early, None);
-    assert_eq!(first.map(|list| list.flows), Some([(flow(1), 501)].into()));
+    assert_eq!(first.map(|checkpoint| checkpoint.flows), Some([(flow(1), 501)].into()));
     assert_eq!(second, None);
 }
 
 /// Guards against resets that a client ignores: it has received more data since the checkpoint than
 /// the sequence number of a reset may be off.
 #[test]
-fn a_flow_that_has_moved_on_is_noted_again() {
+fn a_flow_that_has_progressed_is_saved_again() {
     let mut agent = with_open_flow(0);
     agent.handle(at(MIN_INTERVAL_MS + 100), Event::Tick);
     let head = data(flow(1), 1_101, 501 + 40_000);
@@ -122,25 +122,25 @@
 
     let again = saved(agent.handle(at(2 * MIN_INTERVAL_MS + 200), Event::Tick));
 
-    assert_eq!(again.map(|list| list.flows), Some([(flow(1), 40_501)].into()));
+    assert_eq!(again.map(|checkpoint| checkpoint.flows), Some([(flow(1), 40_501)].into()));
 }
 
 /// With 16,000 agents, a checkpoint every three seconds would exceed the store's write rate more
 /// than ten times.
 #[test]
-fn the_pause_between_lists_grows_with_the_fleet() {
+fn the_interval_between_checkpoints_grows_with_the_number_of_agents() {
     let mut agent = with_open_flow(0);
     let roster = roster(1, &[BALANCER], 16_000);
     agent.handle(at(1_000), Event::Gossip(BALANCER, roster));
 
-    let flow_at = |agent: &mut Agent, now: u64| {
+    let saves_at = |agent: &mut Agent, now: u64| {
         let head = data(flow(1), 1_101, 501);
         agent.handle(at(now), Event::Carry { from: BALANCER, head, known: true });
         saved(agent.handle(at(now), Event::Tick)).is_some()
     };
-    let early = flow_at(&mut agent, 40_000);
-    let later = flow_at(&mut agent, 80_000);
-    let due = flow_at(&mut agent, 200_100);
+    let early = saves_at(&mut agent, 40_000);
+    let later = saves_at(&mut agent, 80_000);
+    let due = saves_at(&mut agent, 200_100);
 
     assert_eq!([early, later, due], [false, false, true]);
 }
@@ -148,20 +148,20 @@
 /// Guards against the loss of recently opened flows: a power loss right after the opening would
 /// leave them out of the checkpoint.
 #[test]
-fn a_flow_that_was_just_opened_is_in_the_list() {
+fn a_flow_that_was_just_opened_is_in_the_checkpoint() {
     let mut agent = with_open_flow(0);
     agent.handle(at(MIN_INTERVAL_MS), Event::FromServer(accepted(flow(2), 500)));
     let head = data(flow(2), 1_001, 501);
     agent.handle(at(MIN_INTERVAL_MS), Event::Carry { from: BALANCER, head, known: true });
 
-    let list = saved(agent.handle(at(MIN_INTERVAL_MS + 100), Event::Tick));
+    let checkpoint = saved(agent.handle(at(MIN_INTERVAL_MS + 100), Event::Tick));
 
-    assert!(list.is_some_and(|list| list.flows.contains_key(&flow(2))));
+    assert!(checkpoint.is_some_and(|checkpoint| checkpoint.flows.contains_key(&flow(2))));
 }
 
 /// Guards against a write for each new flow while nine of ten flows are in the checkpoint.
 #[test]
-fn one_new_flow_of_ten_is_not_worth_a_write() {
+fn one_new_flow_of_ten_does_not_cause_a_write() {
     let mut agent = with_open_flow(0);
     let open = |agent: &mut Agent, port: u16, now: u64| {
         agent.handle(at(now), Event::FromServer(accepted(flow(port), 500)));
@@ -174,6 +174,6 @@
 
     let second = saved(agent.handle(at(3 * MIN_INTERVAL_MS), Event::Tick));
 
-    assert_eq!(first.map(|list| list.flows.len()), Some(9));
+    assert_eq!(first.map(|checkpoint| checkpoint.flows.len()), Some(9));
     assert_eq!(second, None);
 }
--- a/crates/nutmegkeel_core/tests/l4/full_server.rs
+++ b/crates/nutmegkeel_core/tests/l4/full_server.rs
@@ -33,21 +33,21 @@
 /// Guards against an overload of the remaining servers: servers with full queues break further
 /// requests off, and are spared as faulty together with most of their peers.
 #[test]
-fn a_full_server_that_turns_requests_away_is_not_taken_for_faulty() {
-    let mut by_room = agent_with_requests(called_for(), 20);
+fn a_full_server_that_rejects_requests_is_not_considered_faulty() {
+    let mut with_room = agent_with_requests(called_for(), 20);
     let mut without = agent_with_requests(Policy::default(), 20);
 
-    for agent in [&mut by_room, &mut without] {
+    for agent in [&mut with_room, &mut without] {
         break_off(agent, 110, 10..=20);
     }
 
-    assert_eq!(by_room.state(at(111)), State::Ready);
+    assert_eq!(with_room.state(at(111)), State::Ready);
     assert_eq!(without.state(at(111)), State::Failing);
 }
 
 /// A faulty server breaks requests off as they arrive, so it never has many.
 #[test]
-fn a_server_that_breaks_requests_off_while_it_has_slots_is_faulty() {
+fn a_server_that_breaks_requests_off_while_slots_are_free_is_faulty() {
     let mut agent = agent_with_requests(called_for(), SLOTS);
 
     break_off(&mut agent, 110, 1..=SLOTS);
--- a/crates/nutmegkeel_core/tests/l4/mute.rs
+++ b/crates/nutmegkeel_core/tests/l4/mute.rs
@@ -14,13 +14,13 @@
 }
 
 /// Runs the ticks of a period; returns the agent's actions.
-fn pass(agent: &mut Agent, from_ms: u64, until_ms: u64) -> Vec<Action> {
+fn run_ticks(agent: &mut Agent, from_ms: u64, until_ms: u64) -> Vec<Action> {
     let ticks = (from_ms..=until_ms).step_by(100);
     ticks.flat_map(|now| agent.handle(at(now), Event::Tick)).collect()
 }
 
 /// An agent whose server has answered `answers` requests, the last one just before 3 s.
-fn learnt(answers: u32) -> Agent {
+fn agent_after_answers(answers: u32) -> Agent {
     let mut agent = agent();
     agent.handle(at(0), Event::Recovered(None));
     agent.handle(at(0), Event::Heartbeat(heartbeat("a", 1)));
@@ -31,7 +31,7 @@
         ask(&mut agent, now, flow(1), 1_001 + 100 * number);
         answer(&mut agent, now + ANSWER_MS, flow(1));
     }
-    pass(&mut agent, 100 + 100 * u64::from(answers), 3_000);
+    run_ticks(&mut agent, 100 + 100 * u64::from(answers), 3_000);
     agent
 }
 
@@ -56,12 +56,12 @@
 /// acknowledges requests and sends heartbeats, but never answers. Requests that must run once may
 /// be running.
 #[test]
-fn clients_of_a_mute_server_are_told_while_there_is_time() {
-    let mut agent = learnt(16);
+fn flows_of_a_mute_server_are_reset_in_time() {
+    let mut agent = agent_after_answers(16);
     go_mute(&mut agent, 3_000);
 
-    let early = pass(&mut agent, 3_100, 3_200);
-    let later = pass(&mut agent, 3_300, 4_200);
+    let early = run_ticks(&mut agent, 3_100, 3_200);
+    let later = run_ticks(&mut agent, 3_300, 4_200);
 
     assert_eq!(resets(&early), Vec::new());
     assert_eq!(resets(&later), vec![flow(2), flow(3)]);
@@ -71,7 +71,7 @@
 /// Guards against the reset of a flow of a healthy server: it answers most requests in 5 ms and a
 /// few in 50 or 500 ms, and two of the long ones arrive together when there are no others.
 #[test]
-fn two_long_requests_among_short_ones_are_no_sign() {
+fn two_long_requests_among_short_ones_do_not_make_a_server_mute() {
     let mut agent = agent();
     agent.handle(at(0), Event::Heartbeat(heartbeat("a", 1)));
     open(&mut agent, 1, flow(1), demand(false));
@@ -81,13 +81,13 @@
         ask(&mut agent, now, flow(1), 1_001 + 100 * number);
         answer(&mut agent, now + 5, flow(1));
     }
-    pass(&mut agent, 2_100, 3_000);
+    run_ticks(&mut agent, 2_100, 3_000);
     for port in [2, 3] {
         open(&mut agent, 3_000, flow(port), demand(false));
         ask(&mut agent, 3_002, flow(port), 1_001);
     }
 
-    let actions = pass(&mut agent, 3_100, 3_600);
+    let actions = run_ticks(&mut agent, 3_100, 3_600);
 
     assert_eq!(resets(&actions), Vec::new());
 }
@@ -95,12 +95,12 @@
 /// A single request may lack a packet for seconds because of a bad link, while the server is
 /// healthy.
 #[test]
-fn one_request_that_waits_is_no_sign() {
-    let mut agent = learnt(16);
+fn one_waiting_request_does_not_make_a_server_mute() {
+    let mut agent = agent_after_answers(16);
     open(&mut agent, 3_000, flow(2), demand(false));
     ask(&mut agent, 3_002, flow(2), 1_001);
 
-    let actions = pass(&mut agent, 3_100, 6_000);
+    let actions = run_ticks(&mut agent, 3_100, 6_000);
 
     assert_eq!(resets(&actions), Vec::new());
     assert_eq!(agent.state(at(6_000)), State::Ready);
@@ -109,7 +109,7 @@
 /// A server that became slow still answers occasionally, and its clients keep their flows.
 #[test]
 fn a_slow_server_is_not_mute() {
-    let mut agent = learnt(16);
+    let mut agent = agent_after_answers(16);
     go_mute(&mut agent, 3_000);
     ask(&mut agent, 3_002, flow(1), 10_001);
 
@@ -128,11 +128,11 @@
 /// Guards against resets of all flows of a host whose process stalled for two seconds: the answers
 /// that arrived in that time have not been read yet.
 #[test]
-fn a_process_that_stood_still_judges_nobody() {
-    let mut agent = learnt(16);
+fn a_stalled_process_does_not_judge_its_server() {
+    let mut agent = agent_after_answers(16);
     go_mute(&mut agent, 3_000);
 
-    let actions = pass(&mut agent, 5_200, 5_300);
+    let actions = run_ticks(&mut agent, 5_200, 5_300);
 
     assert_eq!(resets(&actions), Vec::new());
 }
@@ -141,10 +141,10 @@
 /// yet.
 #[test]
 fn a_server_whose_usual_time_is_not_known_is_not_judged() {
-    let mut agent = learnt(15);
+    let mut agent = agent_after_answers(15);
     go_mute(&mut agent, 3_000);
 
-    let actions = pass(&mut agent, 3_100, 6_000);
+    let actions = run_ticks(&mut agent, 3_100, 6_000);
 
     assert_eq!(resets(&actions), Vec::new());
 }
--- a/crates/nutmegkeel_core/tests/l4/overload.rs
+++ b/crates/nutmegkeel_core/tests/l4/overload.rs
@@ -12,28 +12,28 @@
 };
 
 /// Time within which an answer is in time, in milliseconds.
-const AIM_MS: u64 = 400;
+const OBJECTIVE_MS: u64 = 400;
 
 /// Number of flows, and interval between two requests of one: 60 requests per second, of which a
 /// cold server answers 42 and a warm one 67.
 const FLOWS: u16 = 60;
-const PAUSE_MS: u64 = 1_000;
+const REQUEST_INTERVAL_MS: u64 = 1_000;
 
-fn feed(once: bool) -> Demand {
-    let objective_ms = u32::try_from(AIM_MS).expect("a short time");
+fn demand_with_objective(once: bool) -> Demand {
+    let objective_ms = u32::try_from(OBJECTIVE_MS).expect("a short time");
     Demand { objective_ms, ..demand(once) }
 }
 
 /// A simulation of an agent, its server and the requests on each flow.
-struct Replay {
+struct Simulation {
     agent: Agent,
     server: Server,
     kept: BTreeMap<Flow, Head>,
-    asked: BTreeMap<Flow, u64>,
+    sent_at: BTreeMap<Flow, u64>,
     answers_ms: Vec<(u64, u64)>,
 }
 
-impl Replay {
+impl Simulation {
     fn open(demand: Demand) -> Self {
         let mut agent = agent();
         agent.handle(at(0), Event::Recovered(None));
@@ -44,8 +44,8 @@
             agent.handle(at(0), event);
             agent.handle(at(0), Event::FromServer(accepted(flow(port), 500)));
         }
-        let (server, kept, asked) = (Server::default(), BTreeMap::new(), BTreeMap::new());
-        Self { agent, server, kept, asked, answers_ms: Vec::new() }
+        let (server, kept, sent_at) = (Server::default(), BTreeMap::new(), BTreeMap::new());
+        Self { agent, server, kept, sent_at, answers_ms: Vec::new() }
     }
 
     fn handle(&mut self, now: u64, event: Event, packet: Option<Head>) {
@@ -65,18 +65,18 @@
     fn run(&mut self, until_ms: u64) {
         for now in 400..until_ms {
             for port in 1..=FLOWS {
-                let phase = u64::from(port) * PAUSE_MS / u64::from(FLOWS);
-                if now % PAUSE_MS == phase {
-                    let round = u32::try_from(now / PAUSE_MS).expect("a short replay");
+                let phase = u64::from(port) * REQUEST_INTERVAL_MS / u64::from(FLOWS);
+                if now % REQUEST_INTERVAL_MS == phase {
+                    let round = u32::try_from(now / REQUEST_INTERVAL_MS).expect("a short replay");
                     let head = data(flow(port), 1_001 + 100 * round, 501);
-                    self.asked.insert(flow(port), now);
+                    self.sent_at.insert(flow(port), now);
                     let event = Event::Carry { from: BALANCER, head, known: true };
                     self.handle(now, event, Some(head));
                 }
             }
             for done in self.server.step(now) {
-                let asked = self.asked.get(&done.flow).copied().unwrap_or_default();
-                self.answers_ms.push((asked, now - asked));
+                let sent_at = self.sent_at.get(&done.flow).copied().unwrap_or_default();
+                self.answers_ms.push((sent_at, now - sent_at));
                 let answer = Head { len: 200, ..done };
                 self.handle(now, Event::FromServer(answer), None);
             }
@@ -89,7 +89,8 @@
     /// Returns the number of requests that were sent while the server was cold and answered in
     /// time.
     fn in_time_while_cold(&self) -> usize {
-        let in_time = |(asked, took): &&(u64, u64)| *asked < COLD_UNTIL_MS && *took <= AIM_MS;
+        let in_time =
+            |(sent_at, took_ms): &&(u64, u64)| *sent_at < COLD_UNTIL_MS && *took_ms <= OBJECTIVE_MS;
         self.answers_ms.iter().filter(in_time).count()
     }
 }
@@ -99,13 +100,13 @@
 /// newest first, most are in time.
 #[test]
 fn requests_on_open_flows_are_in_time_while_servers_are_cold() {
-    let mut held = Replay::open(feed(false));
-    let mut queued = Replay::open(feed(true));
+    let mut at_agent = Simulation::open(demand_with_objective(false));
+    let mut at_server = Simulation::open(demand_with_objective(true));
 
-    held.run(4_000);
-    queued.run(4_000);
+    at_agent.run(4_000);
+    at_server.run(4_000);
 
-    let (with, without) = (held.in_time_while_cold(), queued.in_time_while_cold());
+    let (with, without) = (at_agent.in_time_while_cold(), at_server.in_time_while_cold());
     println!("in time of 96: {with} held back at the agent, {without} in the server's queue");
     assert!(with > without, "{with} {without}");
     assert!(with >= 60, "{with}");
--- a/crates/nutmegkeel_core/tests/l4/recovery.rs
+++ b/crates/nutmegkeel_core/tests/l4/recovery.rs
@@ -19,22 +19,22 @@
 
 /// Number of agents, and time between their starts; the last one starts after 0.2 s.
 const AGENTS: u8 = 6;
-const AGENT_PAUSE_MS: u64 = 40;
+const AGENT_START_INTERVAL_MS: u64 = 40;
 
 /// Start of the balancer, in milliseconds; two agents start before it.
-const BALANCER_UP_MS: u64 = 60;
+const BALANCER_START_MS: u64 = 60;
 
 /// Number of clients whose requests waited for the restart of the hosts.
 const BACKLOG: u16 = 150;
 
 /// Interval between two new requests, in milliseconds: 200 per second, of which six cold servers
 /// answer 255.
-const PAUSE_MS: u64 = 5;
+const REQUEST_INTERVAL_MS: u64 = 5;
 
 /// End of the simulation, and time of the last new request, in milliseconds; one deadline lies
 /// between them.
 const END_MS: u64 = 3_000;
-const LAST_MS: u64 = 1_500;
+const LAST_REQUEST_MS: u64 = 1_500;
 
 /// Delay of a message between two hosts, in milliseconds.
 const DELAY_MS: u64 = 1;
@@ -43,7 +43,7 @@
 const OBJECTIVE_MS: u64 = 250;
 
 /// A packet or message in flight.
-enum Parcel {
+enum InFlight {
     FromClient(Head),
     ToBalancer(Ipv4Addr, Message, Option<Head>),
     ToAgent(usize, Message, Option<Head>),
@@ -57,18 +57,18 @@
     kept: BTreeMap<Flow, Head>,
 }
 
-struct Replay {
+struct Simulation {
     policy: Policy,
     balancer: Option<Balancer>,
     kept: BTreeMap<Flow, Head>,
     hosts: Vec<Host>,
-    parcels: BTreeMap<(u64, u64), Parcel>,
+    in_flight: BTreeMap<(u64, u64), InFlight>,
     sent: u64,
-    asked: BTreeMap<Flow, u64>,
-    answered: BTreeMap<Flow, u64>,
+    sent_at: BTreeMap<Flow, u64>,
+    answered_at: BTreeMap<Flow, u64>,
 }
 
-impl Replay {
+impl Simulation {
     fn open(policy: Policy) -> Self {
         let host = |_| Host { agent: None, server: Server::default(), kept: BTreeMap::new() };
         Self {
@@ -76,26 +76,27 @@
             balancer: None,
             kept: BTreeMap::new(),
             hosts: (0..AGENTS).map(host).collect(),
-            parcels: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
-            asked: BTreeMap::new(),
-            answered: BTreeMap::new(),
+            sent_at: BTreeMap::new(),
+            answered_at: BTreeMap::new(),
         }
     }
 
-    fn send(&mut self, now: u64, parcel: Parcel) {
+    fn send(&mut self, now: u64, packet: InFlight) {
         self.sent += 1;
-        self.parcels.insert((now + DELAY_MS, self.sent), parcel);
+        self.in_flight.insert((now + DELAY_MS, self.sent), packet);
     }
 
     fn run(&mut self) {
         for now in 0..END_MS {
             self.start_hosts(now);
-            self.ask(now);
-            while let Some(entry) = self.parcels.first_entry().filter(|entry| entry.key().0 <= now)
+            self.send_openings(now);
+            while let Some(entry) =
+                self.in_flight.first_entry().filter(|entry| entry.key().0 <= now)
             {
-                let parcel = entry.remove();
-                self.deliver(now, parcel);
+                let packet = entry.remove();
+                self.deliver(now, packet);
             }
             self.serve(now);
             self.tick(now);
@@ -103,15 +104,19 @@
     }
 
     fn start_hosts(&mut self, now: u64) {
-        if now == BALANCER_UP_MS {
+        if now == BALANCER_START_MS {
             let policy = self.policy.clone();
             let balancer = Balancer::open(at(now), identity(BALANCER, policy), &[]);
             self.balancer = Some(balancer);
-            self.balance(now, balancer::Event::Ordered(Orders::default()), None);
-            self.balance(now, balancer::Event::Configured(table(1, &[(PORT, desk())])), None);
+            self.handle_at_balancer(now, balancer::Event::Ordered(Orders::default()), None);
+            self.handle_at_balancer(
+                now,
+                balancer::Event::Configured(table(1, &[(PORT, desk())])),
+                None,
+            );
         }
         for number in 0..self.hosts.len() {
-            if now == AGENT_PAUSE_MS * number as u64 {
+            if now == AGENT_START_INTERVAL_MS * number as u64 {
                 let identity = Identity {
                     address: host(u8::try_from(number).expect("few hosts")),
                     incarnation: 1,
@@ -121,35 +126,41 @@
                     policy: self.policy.clone(),
                 };
                 self.hosts[number].agent = Some(Agent::open(at(now), identity, &[BALANCER]));
-                self.act(now, number, agent::Event::Recovered(None), None);
-                self.act(now, number, agent::Event::Heartbeat(heartbeat("a", 1)), None);
+                self.handle_at_agent(now, number, agent::Event::Recovered(None), None);
+                self.handle_at_agent(now, number, agent::Event::Heartbeat(heartbeat("a", 1)), None);
             }
         }
     }
 
     /// Sends the openings of the backlog as soon as the balancer runs, and the others one after the
     /// other.
-    fn ask(&mut self, now: u64) {
-        if now == BALANCER_UP_MS + 10 {
+    fn send_openings(&mut self, now: u64) {
+        if now == BALANCER_START_MS + 10 {
             for port in 1..=BACKLOG {
-                self.send(now, Parcel::FromClient(opening(flow(port), 0)));
+                self.send(now, InFlight::FromClient(opening(flow(port), 0)));
             }
         }
-        if now > BALANCER_UP_MS + 10 && now <= LAST_MS && now.is_multiple_of(PAUSE_MS) {
-            let port = BACKLOG + 1 + u16::try_from(now / PAUSE_MS).expect("a short replay");
-            self.asked.insert(flow(port), now);
-            self.send(now, Parcel::FromClient(opening(flow(port), 0)));
+        if now > BALANCER_START_MS + 10
+            && now <= LAST_REQUEST_MS
+            && now.is_multiple_of(REQUEST_INTERVAL_MS)
+        {
+            let port =
+                BACKLOG + 1 + u16::try_from(now / REQUEST_INTERVAL_MS).expect("a short replay");
+            self.sent_at.insert(flow(port), now);
+            self.send(now, InFlight::FromClient(opening(flow(port), 0)));
         }
     }
 
-    fn deliver(&mut self, now: u64, parcel: Parcel) {
-        match parcel {
-            Parcel::FromClient(head) => {
-                self.balance(now, balancer::Event::Client(head), Some(head));
+    fn deliver(&mut self, now: u64, packet: InFlight) {
+        match packet {
+            InFlight::FromClient(head) => {
+                self.handle_at_balancer(now, balancer::Event::Client(head), Some(head));
             }
-            Parcel::ToBalancer(from, message, head) => {
+            InFlight::ToBalancer(from, message, head) => {
                 let event = match (message, head) {
-                    (Message::Announce(word), _) => balancer::Event::Announced(from, word),
+                    (Message::Announce(announcement), _) => {
+                        balancer::Event::Announced(from, announcement)
+                    }
                     (Message::Holds { flow, load }, _) => {
                         balancer::Event::Holds { from, flow, load }
                     }
@@ -158,31 +169,31 @@
                     }
                     _ => return,
                 };
-                self.balance(now, event, head);
+                self.handle_at_balancer(now, event, head);
             }
-            Parcel::ToAgent(number, message, head) => {
+            InFlight::ToAgent(number, message, head) => {
                 let from = BALANCER;
                 let event = match (message, head) {
-                    (Message::Roster(roster), _) => agent::Event::Gossip(from, roster),
+                    (Message::Roster(gossip), _) => agent::Event::Gossip(from, gossip),
                     (Message::Carry { known }, Some(head)) => {
                         agent::Event::Carry { from, head, known }
                     }
                     (Message::Open(offer), Some(head)) => agent::Event::Open { from, head, offer },
                     _ => return,
                 };
-                self.act(now, number, event, head);
+                self.handle_at_agent(now, number, event, head);
             }
-            Parcel::ToClient(head) if head.flags.syn => {
+            InFlight::ToClient(head) if head.flags.syn => {
                 let request = data(head.flow, 1_001, head.seq + 1);
-                self.send(now, Parcel::FromClient(request));
+                self.send(now, InFlight::FromClient(request));
             }
-            Parcel::ToClient(head) => {
-                self.answered.entry(head.flow).or_insert(now);
+            InFlight::ToClient(head) => {
+                self.answered_at.entry(head.flow).or_insert(now);
             }
         }
     }
 
-    fn balance(&mut self, now: u64, event: balancer::Event, head: Option<Head>) {
+    fn handle_at_balancer(&mut self, now: u64, event: balancer::Event, head: Option<Head>) {
         let Some(balancer) = self.balancer.as_mut() else {
             return;
         };
@@ -197,7 +208,7 @@
                 }
                 balancer::Action::Recall => {
                     for (_, head) in std::mem::take(&mut self.kept) {
-                        self.balance(now, balancer::Event::Again(head), Some(head));
+                        self.handle_at_balancer(now, balancer::Event::Again(head), Some(head));
                     }
                 }
                 _ => {}
@@ -208,11 +219,17 @@
     fn hand_to_agent(&mut self, now: u64, to: Ipv4Addr, message: Message, head: Option<Head>) {
         let number = (0..AGENTS).position(|number| host(number) == to);
         if let Some(number) = number {
-            self.send(now, Parcel::ToAgent(number, message, head));
+            self.send(now, InFlight::ToAgent(number, message, head));
         }
     }
 
-    fn act(&mut self, now: u64, number: usize, event: agent::Event, head: Option<Head>) {
+    fn handle_at_agent(
+        &mut self,
+        now: u64,
+        number: usize,
+        event: agent::Event,
+        head: Option<Head>,
+    ) {
         let Some(agent) = self.hosts[number].agent.as_mut() else {
             return;
         };
@@ -232,13 +249,13 @@
                 }
                 agent::Action::ToClient => {
                     let answer = head.expect("a packet is at hand");
-                    self.send(now, Parcel::ToClient(answer));
+                    self.send(now, InFlight::ToClient(answer));
                 }
                 agent::Action::Return(_, message) => {
-                    self.send(now, Parcel::ToBalancer(from, message, head));
+                    self.send(now, InFlight::ToBalancer(from, message, head));
                 }
                 agent::Action::Send(_, message) => {
-                    self.send(now, Parcel::ToBalancer(from, message, None));
+                    self.send(now, InFlight::ToBalancer(from, message, None));
                 }
                 _ => {}
             }
@@ -250,7 +267,7 @@
         let head = head.expect("a packet is at hand");
         if head.opens() {
             let answer = accepted(head.flow, 500);
-            self.act(now, number, agent::Event::FromServer(answer), Some(answer));
+            self.handle_at_agent(now, number, agent::Event::FromServer(answer), Some(answer));
         } else {
             self.hosts[number].server.queue.push_back(head);
         }
@@ -260,48 +277,49 @@
         for number in 0..self.hosts.len() {
             for done in self.hosts[number].server.step(now) {
                 let answer = Head { seq: done.ack, ack: done.next_seq(), len: 200, ..done };
-                self.act(now, number, agent::Event::FromServer(answer), Some(answer));
+                self.handle_at_agent(now, number, agent::Event::FromServer(answer), Some(answer));
             }
         }
     }
 
     fn tick(&mut self, now: u64) {
         for number in 0..self.hosts.len() {
-            let age = now.checked_sub(AGENT_PAUSE_MS * number as u64);
+            let age = now.checked_sub(AGENT_START_INTERVAL_MS * number as u64);
             if age.is_some_and(|age| age > 0 && age.is_multiple_of(agent::TICK_MS)) {
-                self.act(now, number, agent::Event::Tick, None);
+                self.handle_at_agent(now, number, agent::Event::Tick, None);
             }
         }
-        if now > BALANCER_UP_MS && (now - BALANCER_UP_MS).is_multiple_of(balancer::TICK_MS) {
-            self.balance(now, balancer::Event::Tick, None);
+        if now > BALANCER_START_MS && (now - BALANCER_START_MS).is_multiple_of(balancer::TICK_MS) {
+            self.handle_at_balancer(now, balancer::Event::Tick, None);
         }
     }
 
     /// Returns the number of clients of the backlog that got an answer.
     fn backlog_answered(&self) -> usize {
-        self.answered.keys().filter(|flow| flow.client.port() <= BACKLOG).count()
+        self.answered_at.keys().filter(|flow| flow.client.port() <= BACKLOG).count()
     }
 
     /// Returns the number of new requests sent before `until_ms` that were answered in time.
     fn in_time(&self, until_ms: u64) -> usize {
-        let asked = self.asked.iter().filter(|(_, asked)| **asked < until_ms);
-        let took = asked.filter_map(|(flow, asked)| Some(self.answered.get(flow)? - asked));
-        took.filter(|took| *took <= OBJECTIVE_MS).count()
+        let requests = self.sent_at.iter().filter(|(_, sent_at)| **sent_at < until_ms);
+        let took_ms =
+            requests.filter_map(|(flow, sent_at)| Some(self.answered_at.get(flow)? - sent_at));
+        took_ms.filter(|took_ms| *took_ms <= OBJECTIVE_MS).count()
     }
 }
 
-fn replay(without: &[Mechanism]) -> Replay {
-    let mut replay = Replay::open(Policy::without(without.iter().copied()));
-    replay.run();
-    replay
+fn simulate(without: &[Mechanism]) -> Simulation {
+    let mut simulation = Simulation::open(Policy::without(without.iter().copied()));
+    simulation.run();
+    simulation
 }
 
 /// Guards against late answers after a power loss: two servers are back before the balancer, which
 /// learns of them only with their next announcement, so that all requests until then wait at the
 /// others.
 #[test]
-fn servers_that_are_back_before_the_balancer_are_used_at_once() {
-    let (with, without) = (replay(&[]), replay(&[Mechanism::Introductions]));
+fn servers_that_start_before_the_balancer_are_used_at_once() {
+    let (with, without) = (simulate(&[]), simulate(&[Mechanism::Introductions]));
 
     let (with, without) = (with.in_time(500), without.in_time(500));
 
@@ -314,11 +332,11 @@
 /// of it.
 #[test]
 fn new_requests_do_not_queue_behind_the_backlog() {
-    let with = replay(&[]);
-    let queued = replay(&[Mechanism::AgentQueue]);
+    let with = simulate(&[]);
+    let queued = simulate(&[Mechanism::AgentQueue]);
 
     let backlog = with.backlog_answered();
-    let (with, queued) = (with.in_time(LAST_MS), queued.in_time(LAST_MS));
+    let (with, queued) = (with.in_time(LAST_REQUEST_MS), queued.in_time(LAST_REQUEST_MS));
 
     println!("in time of 286: {with}, in the servers' queues {queued}");
     assert!(with >= 200, "{with}");
--- a/crates/nutmegkeel_core/tests/l4/replica.rs
+++ b/crates/nutmegkeel_core/tests/l4/replica.rs
@@ -37,28 +37,28 @@
 
 fn announced_replica(actions: &[agent::Action]) -> Option<u64> {
     actions.iter().find_map(|action| match action {
-        agent::Action::Send(_, Message::Announce(word)) => Some(word.replica),
+        agent::Action::Send(_, Message::Announce(announcement)) => Some(announcement.replica),
         _ => None,
     })
 }
 
 #[test]
-fn an_agent_of_a_small_domain_fetches_a_copy_and_says_so() {
+fn an_agent_of_a_small_domain_fetches_a_copy_and_announces_it() {
     let mut agent = agent_of(host(1), 2, Policy::default());
 
-    let young = fetches(&mut agent, 2_950);
-    let old = fetches(&mut agent, 3_050);
+    let too_early = fetches(&mut agent, 2_950);
+    let due = fetches(&mut agent, 3_050);
     let again = fetches(&mut agent, 3_150);
     agent.handle(at(3_200), agent::Event::Fetched(5));
     let held = fetches(&mut agent, 4_200);
-    let said = announced_replica(&agent.handle(at(4_600), agent::Event::Tick));
+    let announced = announced_replica(&agent.handle(at(4_600), agent::Event::Tick));
 
-    assert_eq!((young, old, again, held), (false, true, false, false));
-    assert_eq!(said, Some(5));
+    assert_eq!((too_early, due, again, held), (false, true, false, false));
+    assert_eq!(announced, Some(5));
 }
 
 #[test]
-fn a_copy_is_replaced_by_a_newer_one_only() {
+fn a_copy_is_replaced_only_by_a_newer_one() {
     let mut agent = agent_of(host(1), 2, Policy::default());
     agent.handle(at(3_000), agent::Event::Fetched(7));
 
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn without_the_mechanism_nobody_fetches() {
+fn without_the_mechanism_no_agent_fetches_a_copy() {
     let policy = || Policy::without([Mechanism::Replicas]);
 
     assert!(!fetches(&mut agent_of(host(1), 2, policy()), 3_050));
@@ -91,15 +91,15 @@
 /// in that time, and after their restart they know agents but no routes.
 #[test]
 fn a_balancer_without_a_configuration_fetches_it_from_an_agent() {
-    let word =
+    let announcement =
         |number, replica| Announcement { replica, ..word(number, State::Ready, Load::default()) };
     let mut started = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     let mut running = balancer(&[1]);
 
-    let nothing = started.handle(at(10), Event::Announced(host(1), word(1, 0)));
-    let fetch = started.handle(at(20), Event::Announced(host(2), word(1, 1)));
-    let known = running.handle(at(3_010), Event::Announced(host(2), word(1, 1)));
-    let newer = running.handle(at(3_020), Event::Announced(host(2), word(2, 2)));
+    let nothing = started.handle(at(10), Event::Announced(host(1), announcement(1, 0)));
+    let fetch = started.handle(at(20), Event::Announced(host(2), announcement(1, 1)));
+    let known = running.handle(at(3_010), Event::Announced(host(2), announcement(1, 1)));
+    let newer = running.handle(at(3_020), Event::Announced(host(2), announcement(2, 2)));
 
     let fetches = |actions: &[Action], address, version| {
         actions.contains(&Action::Fetch(Holder { address, version }))
@@ -115,19 +115,19 @@
 /// A balancer that gets the configuration from an agent must not place flows in an evacuated
 /// domain, so it also gets the orders from agents.
 #[test]
-fn an_agent_tells_its_orders_to_a_balancer_that_knows_none() {
+fn an_agent_sends_its_orders_to_a_balancer_that_knows_none() {
     let orders = Orders { revision: revision(5), domains: [DOMAIN.into()].into() };
     let mut agent = agent_of(host(1), 2, Policy::default());
     let known = Roster { orders: Some(orders.clone()), ..roster(5, &[], 2) };
     agent.handle(at(3_000), agent::Event::Gossip(BALANCER, known));
 
     let unknown = Roster { orders: None, ..roster(0, &[], 2) };
-    let told = agent.handle(at(3_010), agent::Event::Gossip(host(9), unknown));
-    let silent = agent.handle(at(3_020), agent::Event::Gossip(BALANCER, roster(5, &[], 2)));
+    let sent = agent.handle(at(3_010), agent::Event::Gossip(host(9), unknown));
+    let unchanged = agent.handle(at(3_020), agent::Event::Gossip(BALANCER, roster(5, &[], 2)));
 
-    let teaches = |actions: &[agent::Action]| {
+    let sends_orders = |actions: &[agent::Action]| {
         actions.iter().any(|action| matches!(action, agent::Action::Send(_, Message::Orders(_))))
     };
-    assert!(told.contains(&agent::Action::Send(host(9), Message::Orders(orders))), "{told:?}");
-    assert!(!teaches(&silent), "{silent:?}");
+    assert!(sent.contains(&agent::Action::Send(host(9), Message::Orders(orders))), "{sent:?}");
+    assert!(!sends_orders(&unchanged), "{unchanged:?}");
 }
--- a/crates/nutmegkeel_core/tests/l4/speed.rs
+++ b/crates/nutmegkeel_core/tests/l4/speed.rs
@@ -6,7 +6,7 @@
 use crate::fixture::{BALANCER, DOMAIN, agent, ask, at, data, demand, flow, heartbeat, host, open};
 
 /// Records `answers` answers, each after `service_ms`, with all three slots of the server busy.
-fn full(meter: &mut Meter, from: u64, service_ms: u64, answers: u64) -> u64 {
+fn run_full(meter: &mut Meter, from: u64, service_ms: u64, answers: u64) -> u64 {
     let mut now = from;
     meter.record_working(at(now), 3);
     for _ in 0..answers.div_ceil(3) {
@@ -23,14 +23,14 @@
 /// Guards against a slow server that goes undetected: it becomes seven times slower and is always
 /// full, so that no request finds a free slot from which its service time could be learned.
 #[test]
-fn a_server_that_is_never_free_shows_that_it_became_slow() {
+fn a_server_without_free_slots_is_measured_as_slow() {
     let mut meter = Meter::open(at(0));
-    let now = full(&mut meter, 0, 50, 60);
+    let now = run_full(&mut meter, 0, 50, 60);
     let before = meter.service_ms();
 
-    let now = full(&mut meter, now, 350, 9);
+    let now = run_full(&mut meter, now, 350, 9);
     let soon = meter.service_ms();
-    full(&mut meter, now, 350, 24);
+    run_full(&mut meter, now, 350, 24);
 
     assert_eq!(before, 50);
     assert!(soon >= 125, "{soon}");
@@ -39,20 +39,20 @@
 }
 
 #[test]
-fn a_server_that_became_fast_again_shows_it_with_a_few_answers() {
+fn a_server_that_became_fast_again_is_measured_so_after_a_few_answers() {
     let mut meter = Meter::open(at(0));
-    let now = full(&mut meter, 0, 350, 30);
+    let now = run_full(&mut meter, 0, 350, 30);
 
-    full(&mut meter, now, 50, 12);
+    run_full(&mut meter, now, 50, 12);
 
     assert!(meter.service_ms() <= 60, "{}", meter.service_ms());
 }
 
 #[test]
-fn what_is_not_known_is_not_told() {
+fn the_service_time_is_unknown_before_there_are_enough_answers() {
     let mut meter = Meter::open(at(0));
 
-    full(&mut meter, 0, 50, 21);
+    run_full(&mut meter, 0, 50, 21);
 
     assert_eq!(meter.service_ms(), 0);
 }
@@ -62,7 +62,7 @@
 #[test]
 fn a_mute_server_does_not_look_fast() {
     let mut meter = Meter::open(at(0));
-    let now = full(&mut meter, 0, 50, 60);
+    let now = run_full(&mut meter, 0, 50, 60);
 
     for millis in (now..now + 2_000).step_by(100) {
         meter.record_working(at(millis), 3);
@@ -77,9 +77,9 @@
 }
 
 #[test]
-fn a_server_without_requests_is_unknown_after_a_while() {
+fn the_service_time_expires_without_requests() {
     let mut meter = Meter::open(at(0));
-    let now = full(&mut meter, 0, 50, 60);
+    let now = run_full(&mut meter, 0, 50, 60);
 
     for millis in (now..now + 12_000).step_by(100) {
         meter.record_working(at(millis), 0);
@@ -90,17 +90,17 @@
 
 /// A stall of the agent's own process must not count as work of the server.
 #[test]
-fn a_pause_of_the_agent_is_no_work() {
+fn a_stall_of_the_agent_does_not_count_as_work() {
     let mut meter = Meter::open(at(0));
-    let now = full(&mut meter, 0, 50, 60);
+    let now = run_full(&mut meter, 0, 50, 60);
 
     meter.record_working(at(now + 5_000), 3);
-    full(&mut meter, now + 5_000, 50, 30);
+    run_full(&mut meter, now + 5_000, 50, 30);
 
     assert!(meter.service_ms() <= 50, "{}", meter.service_ms());
 }
 
-fn agent_that_tells() -> Agent {
+fn measuring_agent() -> Agent {
     let identity = Identity {
         address: host(1),
         incarnation: 1,
@@ -130,34 +130,34 @@
     now
 }
 
-fn started(agent: &mut Agent) {
+fn start_server(agent: &mut Agent) {
     agent.handle(at(0), Event::Heartbeat(heartbeat("one", 1)));
     (1..=4).for_each(|port| open(agent, 1, flow(port), demand(false)));
 }
 
 #[test]
-fn an_agent_tells_the_time_with_its_load() {
-    let mut agent = agent_that_tells();
-    started(&mut agent);
+fn an_agent_announces_the_service_time_with_its_load() {
+    let mut agent = measuring_agent();
+    start_server(&mut agent);
 
     let now = serve(&mut agent, 10, 60, 12);
 
     let service_ms = agent.load().service_ms;
     assert!((55..=65).contains(&service_ms), "{service_ms}");
-    let told =
+    let announced =
         agent.handle(at(now + 300), Event::Tick).into_iter().find_map(|action| match action {
-            Action::Send(_, Message::Announce(word)) => Some(word.load.service_ms),
+            Action::Send(_, Message::Announce(announcement)) => Some(announcement.load.service_ms),
             _ => None,
         });
-    assert_eq!(told, Some(service_ms));
+    assert_eq!(announced, Some(service_ms));
 }
 
 /// Guards against a burst that makes a server look slow: requests beyond the slots wait in the
 /// server's own queue, which is no work of a slot.
 #[test]
-fn a_queue_at_the_server_is_no_work() {
-    let mut agent = agent_that_tells();
-    started(&mut agent);
+fn requests_queued_at_the_server_do_not_count_as_work() {
+    let mut agent = measuring_agent();
+    start_server(&mut agent);
     let once = demand(true);
     (5..=6).for_each(|port| open(&mut agent, 2, flow(port), once));
     (5..=6).for_each(|port| ask(&mut agent, 3, flow(port), 1_001));
@@ -169,9 +169,9 @@
 }
 
 #[test]
-fn a_new_server_starts_anew() {
-    let mut agent = agent_that_tells();
-    started(&mut agent);
+fn a_new_server_is_measured_from_the_start() {
+    let mut agent = measuring_agent();
+    start_server(&mut agent);
     let now = serve(&mut agent, 10, 60, 12);
 
     agent.handle(at(now), Event::Heartbeat(heartbeat("two", 1)));
@@ -180,8 +180,8 @@
 }
 
 #[test]
-fn a_server_that_became_warm_starts_anew() {
-    let mut agent = agent_that_tells();
+fn a_server_that_became_warm_is_measured_from_the_start() {
+    let mut agent = measuring_agent();
     let cold = |seq, warmup_ms| {
         Event::Heartbeat(nutmegkeel_core::l4::server::Heartbeat {
             warmup_ms,
@@ -201,9 +201,9 @@
 }
 
 #[test]
-fn without_the_mechanism_no_time_is_told() {
+fn without_the_mechanism_no_service_time_is_announced() {
     let mut agent = agent();
-    started(&mut agent);
+    start_server(&mut agent);
 
     serve(&mut agent, 10, 60, 12);
 
@@ -213,9 +213,9 @@
 /// Guards against a slow server that looks fast because it is full: it rejects requests that must
 /// run once at once, and if these counted as answers, new flows would return to it.
 #[test]
-fn requests_that_a_full_server_turns_away_do_not_make_it_fast() {
-    let mut agent = agent_that_tells();
-    started(&mut agent);
+fn requests_that_a_full_server_rejects_do_not_make_it_look_fast() {
+    let mut agent = measuring_agent();
+    start_server(&mut agent);
     let mut now = serve(&mut agent, 10, 350, 10);
     let before = agent.load().service_ms;
     let mut next = 9_000_001;
