--- a/crates/nutmegkeel_core/src/l4/agent/answer.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/answer.rs
@@ -1,4 +1,4 @@
-//! What an agent learns from the packets of its backend server.
+//! Handling of packets from the backend server.
 
 use std::net::Ipv4Addr;
 
--- a/crates/nutmegkeel_core/src/l4/health.rs
+++ b/crates/nutmegkeel_core/src/l4/health.rs
@@ -41,7 +41,7 @@
 pub enum Health {
     /// Its announcements arrive.
     Fresh,
-    /// Some announcements are missing.
+    /// Some of its announcements are missing.
     Late,
     /// It announced that its process is being replaced.
     Restarting,
--- a/crates/nutmegkeel_core/src/l4/outlier.rs
+++ b/crates/nutmegkeel_core/src/l4/outlier.rs
@@ -46,7 +46,7 @@
     /// Records a request that was broken off; returns whether the server is spared from now on
     /// because of it.
     pub fn record_broken(&mut self, now: Time) -> bool {
-        const { assert!(WINDOW == u16::BITS, "the outcomes fill their bits") };
+        const { assert!(WINDOW == u16::BITS, "each outcome in the window has one bit") };
         self.outcomes = self.outcomes << 1 | 1;
         self.answered_in_a_row = 0;
         self.outcomes.count_ones() >= MIN_BROKEN && self.spare(now)
--- a/crates/nutmegkeel_core/src/l4/server.rs
+++ b/crates/nutmegkeel_core/src/l4/server.rs
@@ -36,11 +36,11 @@
 pub struct Heartbeat {
     /// The incarnation that sent the heartbeat.
     pub incarnation: Incarnation,
-    /// Its service.
+    /// The service that the server belongs to.
     pub service: Service,
-    /// Requests that it works on at once.
+    /// Number of requests that the server processes concurrently.
     pub slots: u16,
-    /// Whether it is leaving.
+    /// Whether the server is draining.
     pub draining: bool,
     /// Remaining warm-up time, in milliseconds.
     pub warmup_ms: u64,
@@ -69,13 +69,13 @@
 /// The current incarnation of a backend server.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Identity and start time.
+    /// Identity and start time of the server.
     pub incarnation: Incarnation,
-    /// Its service.
+    /// The service that the server belongs to.
     pub service: Service,
-    /// Requests that it works on at once.
+    /// Number of requests that the server processes concurrently.
     pub slots: u16,
-    /// Whether it is leaving.
+    /// Whether the server is draining.
     pub draining: bool,
     /// When the warm-up ends.
     pub warm_at: Time,
@@ -120,7 +120,7 @@
     heartbeat_ms: u64,
     server: Option<Server>,
     unconfirmed: Option<Unconfirmed>,
-    /// Earlier incarnations, with the number of the last heartbeat of each.
+    /// Earlier incarnations, with the sequence number of the last heartbeat of each.
     retired: BTreeMap<Incarnation, u64>,
 }
 
--- a/crates/nutmegkeel_core/src/l4/status.rs
+++ b/crates/nutmegkeel_core/src/l4/status.rs
@@ -12,9 +12,9 @@
 /// A balancer's view at one time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its address.
+    /// Address of the balancer.
     pub address: Ipv4Addr,
-    /// Failure domain.
+    /// Failure domain of the balancer.
     pub domain: Arc<str>,
     /// Whether the network fabric should send packets here.
     pub ready: bool,
@@ -24,7 +24,7 @@
     pub orders: Option<Orders>,
     /// Whether it is the delegate that watches the store for its failure domain.
     pub delegate: bool,
-    /// Whether the store answered its last call.
+    /// Whether the store answered the balancer's last call.
     pub reaches_store: bool,
     /// Number of other balancers known.
     pub balancers: usize,
--- a/crates/nutmegkeel_core/src/l4/table.rs
+++ b/crates/nutmegkeel_core/src/l4/table.rs
@@ -280,12 +280,12 @@
     Answered {
         /// Time since the request, in milliseconds.
         after_ms: u64,
-        /// Requests that were in progress when it came.
+        /// Number of requests that were in progress when it arrived.
         behind: usize,
     },
     /// The server reset the flow without an answer.
     Broken {
-        /// Requests that were in progress when it came.
+        /// Number of requests that were in progress when it arrived.
         behind: usize,
     },
 }
--- a/crates/nutmegkeel_core/tests/l4/agent.rs
+++ b/crates/nutmegkeel_core/tests/l4/agent.rs
@@ -40,7 +40,7 @@
         Action::ToServer(tag) => Some(*tag),
         _ => None,
     });
-    tags.next_back().expect("a packet went to the server")
+    tags.next_back().expect("an action passes a packet to the server")
 }
 
 fn refusal(actions: &[Action]) -> Option<Reason> {
--- a/crates/nutmegkeel_core/tests/l4/backend.rs
+++ b/crates/nutmegkeel_core/tests/l4/backend.rs
@@ -1,4 +1,4 @@
-//! A backend server in virtual time.
+//! A simulated backend server.
 
 use std::collections::VecDeque;
 
--- a/crates/nutmegkeel_core/tests/l4/overload.rs
+++ b/crates/nutmegkeel_core/tests/l4/overload.rs
@@ -67,7 +67,8 @@
             for port in 1..=FLOWS {
                 let phase = u64::from(port) * REQUEST_INTERVAL_MS / u64::from(FLOWS);
                 if now % REQUEST_INTERVAL_MS == phase {
-                    let round = u32::try_from(now / REQUEST_INTERVAL_MS).expect("a short replay");
+                    let round =
+                        u32::try_from(now / REQUEST_INTERVAL_MS).expect("a short simulation");
                     let head = data(flow(port), 1_001 + 100 * round, 501);
                     self.sent_at.insert(flow(port), now);
                     let event = Event::Carry { from: BALANCER, head, known: true };
@@ -107,7 +108,9 @@
     at_server.run(4_000);
 
     let (with, without) = (at_agent.in_time_while_cold(), at_server.in_time_while_cold());
-    println!("in time of 96: {with} held back at the agent, {without} in the server's queue");
+    println!(
+        "answered in time, of 96: {with} with the agent's queue, {without} with the server's queue"
+    );
     assert!(with > without, "{with} {without}");
     assert!(with >= 60, "{with}");
 }
--- a/crates/nutmegkeel_core/tests/l4/recovery.rs
+++ b/crates/nutmegkeel_core/tests/l4/recovery.rs
@@ -145,7 +145,7 @@
             && now.is_multiple_of(REQUEST_INTERVAL_MS)
         {
             let port =
-                BACKLOG + 1 + u16::try_from(now / REQUEST_INTERVAL_MS).expect("a short replay");
+                BACKLOG + 1 + u16::try_from(now / REQUEST_INTERVAL_MS).expect("a short simulation");
             self.sent_at.insert(flow(port), now);
             self.send(now, InFlight::FromClient(opening(flow(port), 0)));
         }
@@ -248,7 +248,7 @@
                     self.hosts[number].kept.remove(&flow);
                 }
                 agent::Action::ToClient => {
-                    let answer = head.expect("a packet is at hand");
+                    let answer = head.expect("the event comes with a packet");
                     self.send(now, InFlight::ToClient(answer));
                 }
                 agent::Action::Return(_, message) => {
@@ -264,7 +264,7 @@
 
     /// Passes a packet to the server, which accepts an opening at once and queues a request.
     fn hand_to_server(&mut self, now: u64, number: usize, head: Option<Head>) {
-        let head = head.expect("a packet is at hand");
+        let head = head.expect("the event comes with a packet");
         if head.opens() {
             let answer = accepted(head.flow, 500);
             self.handle_at_agent(now, number, agent::Event::FromServer(answer), Some(answer));
@@ -323,7 +323,7 @@
 
     let (with, without) = (with.in_time(500), without.in_time(500));
 
-    println!("in time of 86: {with}, without introductions {without}");
+    println!("answered in time, of 86: {with} with introductions, {without} without");
     assert!(with > without, "{with} {without}");
 }
 
@@ -338,7 +338,9 @@
     let backlog = with.backlog_answered();
     let (with, queued) = (with.in_time(LAST_REQUEST_MS), queued.in_time(LAST_REQUEST_MS));
 
-    println!("in time of 286: {with}, in the servers' queues {queued}");
+    println!(
+        "answered in time, of 286: {with} with the agents' queues, {queued} with the servers' queues"
+    );
     assert!(with >= 200, "{with}");
     assert!(with > queued, "{with} {queued}");
     assert_eq!(backlog, usize::from(BACKLOG));
--- a/crates/nutmegkeel_core/tests/l4/replica.rs
+++ b/crates/nutmegkeel_core/tests/l4/replica.rs
@@ -77,7 +77,7 @@
         .filter(|number| fetches(&mut agent_of(host(*number), 200, Policy::default()), 3_050))
         .count();
 
-    assert!((1..=9).contains(&holders), "three on the mean, {holders}");
+    assert!((1..=9).contains(&holders), "expected about three holders, found {holders}");
 }
 
 #[test]
