--- a/crates/nutmegkeel_core/src/l4/agent.rs
+++ b/crates/nutmegkeel_core/src/l4/agent.rs
@@ -1,8 +1,8 @@
 //! Decisions of an agent for flows without a routing token.
 //!
-//! The agent sees every packet to and from its backend server. It knows which flows the server
-//! holds, and after its own restart lets the server say so: a packet of a flow that the server does
-//! not hold comes back.
+//! The agent sees every packet to and from its backend server, so it knows which flows the server
+//! holds. After its own restart it learns this from the server: the server returns a packet of a
+//! flow that it does not hold.
 
 mod answer;
 mod balancers;
@@ -12,33 +12,33 @@
 mod refused;
 mod replica;
 mod request;
+mod server;
 mod speed;
-mod standing;
 mod warmup;
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-use evacuation::Standing;
+use evacuation::View;
 use refused::Refused;
 use replica::Replica;
 use request::Opening;
 
 use super::changes::Changes;
-use super::checkpoint::Keeper;
+use super::checkpoint::Recorder;
 use super::flow::{Flow, Head};
 use super::handover::{Handover, Step};
 use super::health::ANNOUNCE_MS;
 use super::message::{Load, Message, Reason, State};
 use super::mute;
 use super::note::{Cause, Note};
-use super::outlier::Record;
+use super::outlier;
 use super::peer_state::States;
 use super::policy::{Mechanism, Policy};
 use super::probe::Probes;
 use super::roster::{Roster, SEND_INTERVAL_MS};
-use super::server::Beside;
+use super::server::History;
 use super::share::Shares;
 use super::speed::Meter;
 use super::table::Table;
@@ -49,93 +49,93 @@
 
 pub use event::{Action, Event};
 
-/// Pause between two ticks, in milliseconds.
+/// Interval between two ticks, in milliseconds.
 pub const TICK_MS: u64 = 100;
 
-/// What the agent tells of itself, fixed at start.
+/// Properties of the agent that are fixed at start.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its address.
+    /// Address of the agent.
     pub address: Ipv4Addr,
-    /// When the process started, Unix milliseconds.
+    /// When the process started, in Unix milliseconds.
     pub incarnation: u64,
-    /// Failure domain.
+    /// Failure domain of the host.
     pub domain: Arc<str>,
-    /// Pause between two heartbeats of the backend server, in milliseconds.
+    /// Interval between two heartbeats of the backend server, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Lists of flows that all agents together may write to the store in a second.
+    /// Number of checkpoints that all agents together may write to the store per second.
     pub checkpoints_per_s: u64,
-    /// The mechanisms that it uses.
+    /// The mechanisms in use.
     pub policy: Policy,
 }
 
-/// The agent.
+/// State of an agent.
 #[derive(Debug)]
 pub struct Agent {
     identity: Identity,
     started: Time,
-    beside: Beside,
+    history: History,
     balancers: Roster,
     /// Balancers that changed since the last tick.
     balancers_changed: Changes,
-    /// Balancers that have spoken to this process, and so know it.
-    acquainted: BTreeSet<Ipv4Addr>,
+    /// Balancers that have sent a message to this process, and so know it.
+    introduced: BTreeSet<Ipv4Addr>,
     table: Table,
     probes: Probes,
     waiting: Queue,
-    /// What callers received lately, where they compete for room.
+    /// Service that callers received recently, if they compete for room.
     shares: Shares,
     refused: Refused,
     pace: Pace,
-    /// How long a slot works on a request.
+    /// Measures how long a slot works on a request.
     meter: Meter,
     /// Whether the server was cold at the last tick.
     was_cold: bool,
-    record: Record,
-    mute: mute::Watch,
+    outliers: outlier::Detector,
+    mute: mute::Detector,
     unanswered_since: Option<Time>,
     unresponsive: bool,
     leaving: bool,
-    keeper: Keeper,
+    recorder: Recorder,
     handover: Handover,
-    /// What balancers last said of themselves.
-    words: States,
-    /// Agents that a balancer last said it hears of.
-    fleet: u64,
-    /// Whether the own failure domain is evacuated.
-    evacuation: Standing,
+    /// Last reported state of each balancer.
+    balancer_states: States,
+    /// Number of agents that a balancer last reported.
+    agent_count: u64,
+    /// What is known of the evacuation of the own failure domain.
+    evacuation: View,
     replica: Replica,
-    /// When the own failure domain was last taken back.
+    /// When the evacuation of the own failure domain last ended.
     taken_back: Option<Time>,
-    /// What the server was given lately.
+    /// Limits the openings that a cold server gets.
     budget: Budget,
-    /// Whether a packet to the server got no answer while nothing was heard of a server.
-    deserted: bool,
-    number: u64,
-    announced: Time,
+    /// Whether a packet to the server got no answer while no server was known.
+    server_absent: bool,
+    announcement_number: u64,
+    announced_at: Time,
 }
 
 impl Agent {
-    /// An agent that knows nothing yet but its seeds.
+    /// Creates an agent that knows nothing but its seeds.
     #[must_use]
     pub fn open(now: Time, identity: Identity, seeds: &[Ipv4Addr]) -> Self {
         let mut balancers = Roster::default();
         for seed in seeds {
             balancers.refresh(now, *seed);
         }
-        let mut words = States::default();
-        words.set_round(SEND_INTERVAL_MS);
+        let mut balancer_states = States::default();
+        balancer_states.set_round(SEND_INTERVAL_MS);
         Self {
-            beside: Beside::open(identity.heartbeat_ms),
+            history: History::open(identity.heartbeat_ms),
             handover: Handover::default(),
-            words,
-            keeper: Keeper::open(now, identity.checkpoints_per_s),
-            fleet: 0,
-            evacuation: Standing::default(),
+            balancer_states,
+            recorder: Recorder::open(now, identity.checkpoints_per_s),
+            agent_count: 0,
+            evacuation: View::default(),
             replica: Replica::default(),
             taken_back: None,
             budget: Budget::default(),
-            deserted: false,
+            server_absent: false,
             waiting: Queue::open(&identity.policy),
             shares: Shares::default(),
             refused: Refused::default(),
@@ -143,44 +143,45 @@
             started: now,
             balancers,
             balancers_changed: Changes::default(),
-            acquainted: BTreeSet::new(),
+            introduced: BTreeSet::new(),
             table: Table::default(),
             probes: Probes::default(),
             pace: Pace::default(),
             meter: Meter::open(now),
             was_cold: false,
-            record: Record::default(),
-            mute: mute::Watch::open(now),
+            outliers: outlier::Detector::default(),
+            mute: mute::Detector::open(now),
             unanswered_since: None,
             unresponsive: false,
             leaving: false,
-            number: 0,
-            announced: Time::ZERO,
+            announcement_number: 0,
+            announced_at: Time::ZERO,
         }
     }
 
-    /// Its load now.
+    /// Returns the current load.
     #[must_use]
     pub fn load(&self) -> Load {
         let load = self.table.load();
-        let counted = |count: usize| u16::try_from(count).unwrap_or(u16::MAX);
-        let waiting = counted(self.waiting.len());
-        // After a restart most requests come on flows that this process does not know yet. Uncounted, they
-        // fill the server while balancers take it for free.
-        let unknown = if self.uses(Mechanism::DomainBalance) { self.probes.requests() } else { 0 };
-        let busy = load.busy.saturating_add(waiting).saturating_add(counted(unknown));
+        let saturate = |count: usize| u16::try_from(count).unwrap_or(u16::MAX);
+        let waiting = saturate(self.waiting.len());
+        // After a restart most requests arrive on flows that this process does not know yet. Not
+        // counted, they fill the server while balancers consider it free.
+        let unknown =
+            if self.uses(Mechanism::DomainBalance) { self.probes.unanswered_requests() } else { 0 };
+        let busy = load.busy.saturating_add(waiting).saturating_add(saturate(unknown));
         Load { busy, service_ms: self.service_ms(), ..load }
     }
 
-    /// Whether it takes new flows.
+    /// Returns the state that is announced to balancers.
     #[must_use]
     pub fn state(&self, now: Time) -> State {
-        match self.beside.server() {
+        match self.history.server() {
             None if self.leaving => State::Gone,
             _ if self.leaving => State::Restarting,
             Some(server) if server.draining || self.unresponsive => State::Closed,
-            Some(_) if self.beside.is_contested() => State::Closed,
-            Some(_) if self.record.is_failing(now) => State::Failing,
+            Some(_) if self.history.is_contested() => State::Closed,
+            Some(_) if self.outliers.is_failing(now) => State::Failing,
             Some(_) => State::Ready,
             None => State::Closed,
         }
@@ -190,32 +191,33 @@
         self.identity.policy.uses(mechanism)
     }
 
-    /// Whether its backend server may be given flows; balancers decide whether one that fails is.
+    /// Returns whether the backend server accepts new flows. For a failing server, the balancers
+    /// decide whether it gets any.
     fn is_open(&self, now: Time) -> bool {
         matches!(self.state(now), State::Ready | State::Failing)
     }
 
-    /// Number of balancers known.
+    /// Returns the number of known balancers.
     #[must_use]
     pub fn balancers(&self) -> usize {
         self.balancers.len()
     }
 
-    /// Whether balancers speak to this process.
+    /// Returns whether a balancer has contacted this process.
     #[must_use]
-    pub fn hears_balancers(&self) -> bool {
-        !self.acquainted.is_empty()
+    pub fn has_balancer_contact(&self) -> bool {
+        !self.introduced.is_empty()
     }
 
-    /// Takes in an event.
+    /// Handles an event.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
-        let mut actions = self.take_in(now, event);
+        let mut actions = self.dispatch(now, event);
         actions.extend(self.release(now));
         self.measure(now);
         actions
     }
 
-    fn take_in(&mut self, now: Time, event: Event) -> Vec<Action> {
+    fn dispatch(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Open { from, head, offer } => {
                 let since = now.before(u64::from(offer.waited_ms));
@@ -223,43 +225,43 @@
             }
             Event::Carry { from, head, known } => self.carry(now, from, &head, known),
             Event::Locate(from, flow) => self.locate(now, from, flow),
-            Event::FromServer(head) => self.answered(now, &head),
+            Event::FromServer(head) => self.handle_server_packet(now, &head),
             Event::Bounced(head) => self.bounced(now, &head),
             Event::Heartbeat(beat) => self.heartbeat(now, &beat),
             Event::Deregistered(leaving) => self.deregistered(now, &leaving),
-            Event::Roster(from, roster) => self.roster(now, from, &roster),
-            Event::Written(number) => {
-                self.keeper.note_number(number);
-                self.handover.written(number);
+            Event::Gossip(from, gossip) => self.apply_gossip(now, from, &gossip),
+            Event::FlowsSaved(number) => {
+                self.recorder.record_number(number);
+                self.handover.record_saved(number);
                 Vec::new()
             }
-            Event::Listed(balancers) => self.listed(now, &balancers),
+            Event::Listed(balancers) => self.add_balancers(now, &balancers),
             Event::Fetched(version) => {
-                self.replica.hold(version);
+                self.replica.set_version(version);
                 Vec::new()
             }
             Event::Recovered(checkpoint) => {
-                self.keeper.read(checkpoint);
-                self.tell_lost(now)
+                self.recorder.apply_predecessor(checkpoint);
+                self.reset_lost_flows(now)
             }
             Event::Leave => self.leave(now),
             Event::Tick => self.tick(now),
         }
     }
 
-    fn hand_over(&mut self, now: Time, flow: Flow, from: Ipv4Addr) -> Action {
+    fn forward_opening(&mut self, now: Time, flow: Flow, from: Ipv4Addr) -> Action {
         self.unanswered_since.get_or_insert(now);
         Action::ToServer(self.probes.insert(now, flow, from))
     }
 
-    fn accepted(&self, flow: Flow) -> Action {
+    fn log_accepted(&self, flow: Flow) -> Action {
         Action::Note(Note::Accepted { flow, load: self.load() })
     }
 
     fn carry(&mut self, now: Time, from: Ipv4Addr, head: &Head, known: bool) -> Vec<Action> {
         let flow = head.flow;
-        if self.table.takes(now, head) {
-            let mut actions = self.take(now, head, from);
+        if self.table.holds(now, head) {
+            let mut actions = self.accept(now, head, from);
             if !known {
                 actions.push(Action::Send(from, Message::Holds { flow, load: self.load() }));
             }
@@ -268,17 +270,18 @@
         if self.refused.contains(now, head) {
             return reset(flow, head.ack, Cause::Overload).into();
         }
-        // Guards against a server that takes a packet for its own because the two servers' numbers are
-        // near each other: one that accepted a copy of the opening is never asked for the flow.
+        // A server that accepted a copy of the opening is never probed for the flow: if the
+        // sequence numbers of the two servers are close, it would accept the packet as its own.
         if self.table.is_elsewhere(head) || self.is_certain(now) || self.probes.denied(now, &flow) {
             return vec![self.decline(from, Reason::NotHeld)];
         }
-        vec![Action::ToServer(self.probes.ask(now, flow, from, head.len > 0))]
+        vec![Action::ToServer(self.probes.insert_query(now, flow, from, head.len > 0))]
     }
 
-    /// Says whether a flow is here, or that only its packet can show it: the backend server may know, or an
-    /// opening is here, which another server may have accepted too. A balancer that took this agent for the
-    /// flow's would reset the flow with its death; one that heard nothing would keep the packet from it.
+    /// Reports whether the flow is here, or that only a packet of it can show this: either the
+    /// backend server has to be probed, or only an opening is here, which another server may have
+    /// accepted too. If the agent claimed such a flow, the balancer would reset the flow when the
+    /// agent dies. If it denied the flow, the balancer would not send it the packet.
     fn locate(&self, now: Time, from: Ipv4Addr, flow: Flow) -> Vec<Action> {
         let load = self.load();
         if self.table.is_open(&flow) {
@@ -297,21 +300,21 @@
     }
 
     fn tick(&mut self, now: Time) -> Vec<Action> {
-        let mut actions = self.judge_server(now);
-        actions.extend(self.notice_mute(now));
-        actions.extend(self.notice_absence(now));
+        let mut actions = self.check_responsiveness(now);
+        actions.extend(self.check_mute(now));
+        actions.extend(self.check_absence(now));
         actions.extend(self.save(now));
-        actions.extend(self.replicate(now));
-        self.notice_warmth(now);
+        actions.extend(self.fetch_replica(now));
+        self.restart_meter_when_warm(now);
         self.table.expire(now);
         self.refused.expire(now);
         self.probes.expire(now);
         self.balancers.expire(now);
-        self.words.expire(now);
-        self.acquainted.retain(|balancer| self.balancers.contains(*balancer));
-        actions.extend(self.note_turnover());
-        if now.since(self.announced) >= ANNOUNCE_MS {
-            actions.extend(self.announce_again(now));
+        self.balancer_states.expire(now);
+        self.introduced.retain(|balancer| self.balancers.contains(*balancer));
+        actions.extend(self.log_balancer_changes());
+        if now.since(self.announced_at) >= ANNOUNCE_MS {
+            actions.extend(self.announce_periodically(now));
         } else if self.uses(Mechanism::Introductions) {
             actions.extend(self.introduce(now));
         }
@@ -323,8 +326,8 @@
             return None;
         }
         let flows = self.table.open_flows();
-        if let Some(server) = self.beside.server()
-            && let Some(list) = self.keeper.due(now, self.fleet, server, flows)
+        if let Some(server) = self.history.server()
+            && let Some(list) = self.recorder.due(now, self.agent_count, server, flows)
         {
             if !self.uses(Mechanism::Collectors) {
                 return Some(Action::Save(list));
@@ -334,24 +337,29 @@
         if !self.handover.is_pending() {
             return None;
         }
-        let patience_ms = self.words.valid_ms();
-        let delegates = self.words.delegates(now, &self.identity.domain, None, patience_ms);
-        let agents = self.agents_at_home(now);
+        let timeout_ms = self.balancer_states.valid_ms();
+        let delegates =
+            self.balancer_states.delegates(now, &self.identity.domain, None, timeout_ms);
+        let agents = self.agents_in_domain(now);
         match self.handover.step(now, &delegates, self.reaches_store(now), agents)? {
-            Step::Deposit(balancer, list) => Some(Action::Send(balancer, Message::SaveFlows(list))),
+            Step::Delegate(balancer, list) => Some(Action::Send(balancer, Message::SaveFlows(list))),
             Step::Write(list) => Some(Action::Save(list)),
         }
     }
 
-    /// Agents of the own failure domain, as far as balancers tell: they count those of all domains.
-    fn agents_at_home(&self, now: Time) -> u64 {
-        self.fleet.div_ceil(self.words.domains(now).max(1))
+    /// Returns the estimated number of agents in the own failure domain; balancers report the total
+    /// of all domains.
+    fn agents_in_domain(&self, now: Time) -> u64 {
+        self.agent_count.div_ceil(self.balancer_states.domains(now).max(1))
     }
 
-    /// Whether a balancer of this failure domain said lately that the store answers it.
+    /// Returns whether a balancer of the own failure domain recently reported that the store
+    /// answers.
     #[must_use]
     pub fn reaches_store(&self, now: Time) -> bool {
-        self.words.of_domain(now, &self.identity.domain).any(|(_, word)| word.reaches_store)
+        self.balancer_states
+            .of_domain(now, &self.identity.domain)
+            .any(|(_, state)| state.reaches_store)
     }
 
     fn decline(&self, to: Ipv4Addr, reason: Reason) -> Action {
--- a/crates/nutmegkeel_core/src/l4/agent/answer.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/answer.rs
@@ -1,4 +1,4 @@
-//! What an agent learns from the packets of its backend server.
+//! Handling of packets from the backend server.
 
 use std::net::Ipv4Addr;
 
@@ -11,45 +11,46 @@
 use crate::l4::table::{Outcome, Stage};
 
 impl Agent {
-    pub(super) fn answered(&mut self, now: Time, head: &Head) -> Vec<Action> {
+    pub(super) fn handle_server_packet(&mut self, now: Time, head: &Head) -> Vec<Action> {
         self.unanswered_since = None;
-        self.deserted = false;
+        self.server_absent = false;
         let mut actions = vec![Action::ToClient];
-        actions.extend(self.responsive(now));
+        actions.extend(self.mark_responsive(now));
         if self.table.get(&head.flow).is_none() && !head.flags.rst {
             self.table.adopt(now, head);
             actions.push(Action::Note(Note::Adopted { flow: head.flow }));
         }
-        if let Some(outcome) = self.table.note_server(now, head) {
-            actions.extend(self.learn(now, outcome));
+        if let Some(outcome) = self.table.record_server(now, head) {
+            actions.extend(self.apply_outcome(now, outcome));
         }
-        if let Some(balancer) = self.probes.answered(&head.flow) {
+        if let Some(balancer) = self.probes.take_answered(&head.flow) {
             let message = Message::Holds { flow: head.flow, load: self.load() };
             actions.push(Action::Send(balancer, message));
         }
         actions
     }
 
-    /// Learns from a request: whether the server is to be spared, and its time if it found a slot
-    /// free. The others waited at the server: counted as service time, a short burst would make the
-    /// agent refuse what it could serve in time.
-    fn learn(&mut self, now: Time, outcome: Outcome) -> Vec<Action> {
-        let slots = self.beside.server().map_or(0, |server| usize::from(server.slots));
+    /// Applies the outcome of a request: it shows whether the server is failing, and its service
+    /// time if the request found a free slot. Other requests waited at the server. If their wait
+    /// counted as service time, a short burst would make the agent refuse requests that it can
+    /// serve in time.
+    fn apply_outcome(&mut self, now: Time, outcome: Outcome) -> Vec<Action> {
+        let slots = self.history.server().map_or(0, |server| usize::from(server.slots));
         match outcome {
             Outcome::Answered { after_ms, behind } => {
-                self.record.answered();
-                self.mute.answered(now);
+                self.outliers.record_answered();
+                self.mute.record_answer(now);
                 let found_slot = behind < slots;
-                self.note_answer(now, after_ms, found_slot);
+                self.record_answer(now, after_ms, found_slot);
                 if found_slot {
                     self.pace.learn(after_ms);
                 }
                 vec![Action::CountAnswer(after_ms)]
             }
             Outcome::Broken { behind }
-                if self.is_fault(behind, slots) && self.record.broken(now) =>
+                if self.is_fault(behind, slots) && self.outliers.record_broken(now) =>
             {
-                let mut actions = vec![self.changed(ServerChange::Failing)];
+                let mut actions = vec![self.log_change(ServerChange::Failing)];
                 actions.extend(self.announce(now));
                 actions
             }
@@ -57,12 +58,12 @@
         }
     }
 
-    /// Whether a request that was broken off shows a fault of the server, if `behind` were in progress when
-    /// it came.
+    /// Returns whether a broken request shows a fault of the server, given that `behind` requests
+    /// were in progress when it arrived.
     ///
-    /// Guards against a crowd that makes whole services look faulty: a full server turns away what its queue
-    /// does not hold, and would be spared while its peers drown in its share. A faulty one is rid of its
-    /// requests at once, and so never full.
+    /// Guards against an overload that makes whole services look faulty. A full server rejects
+    /// requests that do not fit into its queue; if it were spared, its peers would be overloaded
+    /// with its share. A faulty server finishes its requests at once, and so is never full.
     fn is_fault(&self, behind: usize, slots: usize) -> bool {
         let is_full = self.uses(Mechanism::Room) && behind >= slots;
         self.uses(Mechanism::Outliers) && !is_full
@@ -70,8 +71,8 @@
 
     pub(super) fn bounced(&mut self, now: Time, head: &Head) -> Vec<Action> {
         self.unanswered_since = None;
-        self.deserted = false;
-        let mut actions = self.responsive(now);
+        self.server_absent = false;
+        let mut actions = self.mark_responsive(now);
         let probe = self.probes.take(head.tag);
         if let Some(from) = probe.filter(|_| head.opens()) {
             actions.extend(self.turned_away(from, head));
@@ -82,7 +83,8 @@
             actions.push(self.decline(from, Reason::NotHeld));
             return actions;
         }
-        // Only an open flow's packet carries no probe: the server held the flow and has lost it.
+        // Only a packet of an open flow carries no probe number: the server held the flow and has
+        // lost it.
         if let Some(held) = self.table.remove(&head.flow)
             && held.stage == Stage::Open
             && !held.is_over()
@@ -92,9 +94,11 @@
         actions
     }
 
-    /// The server turned an opening away. Guards against forgetting a flow whose first opening it
-    /// took and whose copy it turned away, being full by then: the client would be told that nobody
-    /// holds its open flow.
+    /// Handles an opening that the server rejected.
+    ///
+    /// Guards against forgetting a flow whose opening the server accepted, while it rejected a copy
+    /// of that opening because it was full by then: the client would learn that nobody holds its
+    /// open flow.
     fn turned_away(&mut self, from: Ipv4Addr, head: &Head) -> Option<Action> {
         match self.table.get(&head.flow)?.stage {
             Stage::Opening(None) => {
--- a/crates/nutmegkeel_core/tests/l4/summary.rs
+++ b/crates/nutmegkeel_core/tests/l4/summary.rs
@@ -380,8 +380,8 @@
 /// An agent that has received the states of a local and a remote balancer.
 fn agent_with_peers() -> agent::Agent {
     let mut agent = agent();
-    agent.handle(at(1), agent::Event::Roster(BALANCER, roster(1, &[], 1)));
-    agent.handle(at(1), agent::Event::Roster(REMOTE_BALANCER, remote_gossip()));
+    agent.handle(at(1), agent::Event::Gossip(BALANCER, roster(1, &[], 1)));
+    agent.handle(at(1), agent::Event::Gossip(REMOTE_BALANCER, remote_gossip()));
     agent
 }
 
@@ -409,7 +409,7 @@
 #[test]
 fn an_agent_without_local_balancers_announces_itself_to_all() {
     let mut agent = agent_with_peers();
-    agent.handle(at(3_000), agent::Event::Roster(REMOTE_BALANCER, remote_gossip()));
+    agent.handle(at(3_000), agent::Event::Gossip(REMOTE_BALANCER, remote_gossip()));
 
     let sent = announced_to(&agent.handle(at(3_000), agent::Event::Tick));
 
