--- a/crates/nutmegkeel_core/src/l4/placement.rs
+++ b/crates/nutmegkeel_core/src/l4/placement.rs
@@ -1,7 +1,8 @@
-//! Which agent a new flow goes to, and in which order agents are asked for a flow.
+//! Selects the agent of a new flow, and the order in which agents are asked for an open flow.
 //!
-//! Every balancer of a failure domain computes the same order for a flow, so that a packet which
-//! reaches another balancer than the opening did finds its agent among the first ones asked.
+//! All balancers of a failure domain compute the same order for a flow. A packet that reaches
+//! another balancer than the flow's opening did therefore finds its agent among the first ones
+//! asked.
 
 mod balance;
 mod candidate;
@@ -31,79 +32,81 @@
 pub use evenness::Evenness;
 pub use uneven::{Slowness, Verdict};
 
-/// An agent chosen for a new flow, with what the choice rested on.
+/// An agent chosen for a new flow, with the load that the choice is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
-    /// The agent.
+    /// Address of the agent.
     pub agent: Ipv4Addr,
-    /// Its load as last heard.
+    /// Load of the agent as last received.
     pub load: Load,
     /// Age of that load, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What a new flow needs.
+/// Requirements of a new flow.
 #[derive(Clone, Copy, Debug)]
 pub struct Need<'a> {
-    /// Its key.
+    /// Key of the flow.
     pub key: Key,
-    /// Its service.
+    /// Service of the flow.
     pub service: Service,
-    /// What its requests are.
+    /// Kind of its requests.
     pub kind: Kind,
-    /// Regions that it may go to; empty where it may go to all.
+    /// Regions that the flow may go to; empty if it may go to all.
     pub regions: &'a BTreeSet<Arc<str>>,
-    /// Failure domain of its client.
+    /// Failure domain of the client.
     pub domain: &'a str,
-    /// Agents that are not to be chosen.
+    /// Agents that must not be chosen.
     pub tried: &'a [Ipv4Addr],
 }
 
-/// What an announcement changed.
+/// Effect of an announcement on what is known of its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing that decisions rest on.
+    /// Nothing that decisions depend on has changed.
     None,
-    /// A new agent, or a new process at its address.
+    /// The agent is new, or a new process runs at its address.
     Appeared,
-    /// The agent takes new flows now.
+    /// The agent accepts new flows from now on.
     Opened,
-    /// The agent takes no new flows any more.
+    /// The agent no longer accepts new flows.
     Closed,
-    /// The announcement is older than what is known.
+    /// The announcement is older than the last one applied.
     Stale,
 }
 
-/// What an agent must be told of the balancers.
+/// What to send to an agent about the balancers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Telling {
-    /// Nothing: it was told lately, and nothing has changed since.
+    /// Nothing: the agent has received the same information recently.
     Nothing,
-    /// That this balancer lives.
+    /// A heartbeat of this balancer.
     Sign,
-    /// Who the balancers are.
+    /// The addresses of all balancers.
     Addresses,
 }
 
-/// The agents that a balancer knows, by address.
+/// Agents known to a balancer, by address.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     agents: BTreeMap<Ipv4Addr, Candidate>,
-    /// The agents of each service, and those that have none: a flow concerns those of one service, whatever
-    /// the size of the fleet.
+    /// Agents by service, including those without one. Decisions on a flow visit only the agents of
+    /// its service, whatever the size of the fleet.
     members: BTreeMap<Option<Service>, BTreeSet<Ipv4Addr>>,
-    /// The own failure domain, whose agents speak to this process themselves. None where all agents do.
+    /// Failure domain of this balancer. Its agents announce themselves here; others are known from
+    /// summaries. `None` if all agents announce themselves here.
     domain: Option<Arc<str>>,
     /// Region of each failure domain.
     regions: BTreeMap<Arc<str>, Arc<str>>,
-    /// Failure domains whose agents take no new flows, because the operator has evacuated them.
+    /// Failure domains that the operator has evacuated. Their agents get no new flows.
     evacuated: BTreeSet<Arc<str>>,
-    /// How full each failure domain is; none if that is not reckoned.
+    /// Utilization of each failure domain; `None` if domains are not balanced.
     balance: Option<Balance>,
 }
 
 impl Pool {
-    /// A pool of a balancer in this failure domain, which hears of agents elsewhere by summaries.
+    /// Creates the pool of a balancer in this failure domain, which learns of agents in other
+    /// domains from summaries.
     #[must_use]
     pub fn open(domain: Arc<str>) -> Self {
         Self { domain: Some(domain), ..Self::default() }
@@ -114,7 +117,7 @@
         self.regions = regions;
     }
 
-    /// Takes in an agent's word about itself.
+    /// Applies an agent's announcement.
     pub fn announced(&mut self, now: Time, from: Ipv4Addr, word: Announcement) -> Change {
         let known = self.agents.get_mut(&from);
         let told = known.as_ref().and_then(|known| known.told);
@@ -128,7 +131,8 @@
             self.remove(from);
             return Change::Closed;
         }
-        // A new process knows nothing of what the one before it was told, and its server may be another one.
+        // A new process has not received what was sent to its predecessor, and it may have another
+        // backend server.
         let told = told.filter(|_| change != Change::Appeared);
         let slowness = slowness.filter(|_| change != Change::Appeared);
         let inherited = self.inherited(now, from, &word, change);
@@ -177,7 +181,7 @@
         }
     }
 
-    /// The agents of a service, with what is known of them.
+    /// Returns the agents of a service.
     fn members(&self, service: Option<Service>) -> impl Iterator<Item = (Ipv4Addr, &Candidate)> {
         let members = self.members.get(&service).into_iter().flatten();
         members.filter_map(|agent| Some((*agent, self.agents.get(agent)?)))
@@ -196,7 +200,7 @@
         }
     }
 
-    /// Notes a flow that was sent there.
+    /// Records that a flow was sent to an agent.
     pub fn placed(&mut self, agent: Ipv4Addr) {
         let Some(candidate) = self.agents.get_mut(&agent) else {
             return;
@@ -207,8 +211,8 @@
         }
     }
 
-    /// An agent that refused because its backend server leaves gets no more openings until it
-    /// announces itself again.
+    /// Stops sending openings to an agent that declined one because its backend server is leaving,
+    /// until the agent's next announcement.
     pub fn closed(&mut self, agent: Ipv4Addr) {
         if let Some(candidate) = self.agents.get_mut(&agent)
             && candidate.announcement.state == State::Ready
@@ -217,21 +221,21 @@
         }
     }
 
-    /// An agent that refused because its backend server is cold gets openings only if no other has room,
-    /// until it says that it has.
+    /// Records that an agent declined an opening because its backend server is cold. Until it
+    /// reports room, it gets openings only if no other agent has room.
     pub fn filled(&mut self, agent: Ipv4Addr) {
         if let Some(candidate) = self.agents.get_mut(&agent) {
             candidate.announcement.room = Some(0);
         }
     }
 
-    /// Service of an agent's backend server, as last announced.
+    /// Returns the service of an agent's backend server, as last announced.
     #[must_use]
     pub fn service(&self, agent: Ipv4Addr) -> Option<Service> {
         self.agents.get(&agent)?.announcement.service
     }
 
-    /// Agents that may take a new flow now.
+    /// Returns the number of agents that may accept this flow now.
     #[must_use]
     pub fn open_agents(&self, now: Time, need: &Need) -> usize {
         let state = self.takers(now, need.service);
@@ -242,18 +246,19 @@
         members.filter(|(_, candidate)| is_open(candidate)).count()
     }
 
-    /// Whether a flow may go to an agent's region.
+    /// Returns whether a flow may go to the region of an agent.
     fn is_allowed(&self, candidate: &Candidate, need: &Need) -> bool {
         let region = || self.regions.get(&candidate.announcement.domain);
         need.regions.is_empty() || region().is_some_and(|region| need.regions.contains(region))
     }
 
-    /// Sets which failure domains are evacuated from now on.
+    /// Replaces the set of evacuated failure domains.
     pub fn set_evacuated(&mut self, domains: BTreeSet<Arc<str>>) {
         self.evacuated = domains;
     }
 
-    /// Whether a service has agents that would take new flows if their failure domain were not evacuated.
+    /// Returns whether a service has agents that would accept new flows if their failure domain
+    /// were not evacuated.
     #[must_use]
     pub fn is_evacuated(&self, now: Time, service: Service) -> bool {
         let takes = |candidate: &Candidate| {
@@ -262,7 +267,6 @@
         self.members(Some(service)).any(|(_, one)| self.is_spared(one) && takes(one))
     }
 
-    /// Whether an agent's failure domain is evacuated.
     fn is_spared(&self, candidate: &Candidate) -> bool {
         self.evacuated.contains(&candidate.announcement.domain)
     }
@@ -276,19 +280,21 @@
         members.filter(|(_, candidate)| self.is_in(now, candidate, service, state)).count()
     }
 
-    /// Which agents of a service get its new flows: the healthy ones, unless most are failing. Guards
-    /// against sparing a whole service, whose few healthy servers would drown in its load.
+    /// Returns the state whose agents get the new flows of a service: healthy ones, unless more
+    /// agents are failing than healthy. If most of a service is failing, its few healthy servers
+    /// could not take the whole load.
     fn takers(&self, now: Time, service: Service) -> State {
         let healthy = self.count(now, service, State::Ready);
         let failing = self.count(now, service, State::Failing);
         if failing > healthy { State::Failing } else { State::Ready }
     }
 
-    /// What an agent must be told of the balancers and of evacuations, if `next` is what there is to tell.
+    /// Returns what to send to an agent about the balancers and evacuations, where `next` is the
+    /// current information.
     ///
-    /// Guards against answering every announcement with all addresses: after the death of one balancer
-    /// the views differ for seconds, and that would be a list for each pair each 300 ms. A list is sent once
-    /// when it is new, and again only with the next sign of life.
+    /// The whole list of addresses is sent once when it changes, and again only with the next
+    /// heartbeat. After the death of a balancer, views differ for seconds; a list in reply to every
+    /// announcement would then cost one list per pair of processes every 300 ms.
     #[must_use]
     pub fn telling(&self, agent: Ipv4Addr, next: Told, pause_ms: u64) -> Telling {
         let Some(candidate) = self.agents.get(&agent) else {
@@ -301,20 +307,20 @@
         }
     }
 
-    /// Notes what an agent was told.
+    /// Records what was sent to an agent.
     pub fn note_told(&mut self, agent: Ipv4Addr, told: Told) {
         if let Some(candidate) = self.agents.get_mut(&agent) {
             candidate.told = Some(told);
         }
     }
 
-    /// Number of agents known.
+    /// Returns the number of known agents.
     #[must_use]
     pub fn len(&self) -> usize {
         self.agents.len()
     }
 
-    /// Whether no agent is known.
+    /// Returns whether no agent is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.agents.is_empty()
--- a/crates/nutmegkeel_core/src/l4/placement/balance.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/balance.rs
@@ -1,9 +1,10 @@
-//! How full the backend servers of each failure domain are, and what keeps new flows from one that is far
-//! fuller than the others.
+//! Measures the utilization of each failure domain and keeps new flows from a domain whose
+//! utilization is far above that of the others.
 //!
-//! The load pattern: the demand of one failure domain doubles. Flows that were open before ask more, and cannot
-//! move; their servers queue. As the servers hold no more flows than others, new long flows would go on coming,
-//! from all domains. Each balancer reckons by itself, from the reports that it has anyway.
+//! When the demand of one failure domain doubles, the additional requests arrive on open flows,
+//! which cannot move, and the servers of the domain queue. These servers hold no more flows than
+//! others, so placement by number of flows would continue to send them long flows from all domains.
+//! Each balancer computes the utilization locally, from the load reports that it receives anyway.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,57 +16,61 @@
 use crate::l4::message::State;
 use crate::l4::route::Service;
 
-/// Pause between two steps, in milliseconds: a step walks all agents.
+/// Interval between two steps, in milliseconds. A step visits all agents.
 const STEP_MS: u64 = 100;
 
-/// Time over which a utilization is smoothed, in milliseconds: some reports, so that chance does not count.
+/// Time over which a utilization is smoothed, in milliseconds. It spans several reports, so that
+/// random variation has little effect.
 const SMOOTHING_MS: u64 = 1_000;
 
-/// How much fuller than the others a failure domain may be without a surcharge, in thousandths of its slots:
-/// beyond what chance does to a few servers.
+/// Difference in utilization that causes no surcharge, in thousandths of the slots of a failure
+/// domain. Smaller differences occur at random between small groups of servers.
 const BAND: u64 = 300;
 
-/// The highest surcharge, in thousandths of a slot: with three more requests a slot a new one would wait for
-/// three turns.
+/// Upper bound of a surcharge, in thousandths of a slot. With three more requests per slot, a new
+/// request waits for three others.
 const MOST: u64 = 3_000;
 
-/// Utilization of the others up to which a surcharge has its whole effect, in thousandths of their slots: a new
-/// request mostly finds a slot free there.
+/// Utilization of the other domains up to which a surcharge has its full effect, in thousandths of
+/// their slots. Below it, a new request usually finds a free slot there.
 const ROOMY: u64 = 1_000;
 
-/// Utilization of the others from which there is no surcharge, in thousandths of their slots: they queue too, so
-/// going there gains nothing and costs the way.
+/// Utilization of the other domains from which there is no surcharge, in thousandths of their
+/// slots. Requests queue there too, so moving a flow gains nothing and costs traffic between
+/// domains.
 const FULL: u64 = 2_000;
 
-/// By how much a surcharge changes in a second, in thousandths of a slot: slower than reports come in, so that
-/// balancers see what they did before they go on.
+/// Maximum change of a surcharge per second, in thousandths of a slot. It is slow compared with the
+/// interval of reports, so that balancers see the effect of a change before the next one.
 const CHANGE_PER_S: u64 = 2_000;
 
-/// Requests for each slot that a report counts for at most. Guards against a single absurd report.
+/// Maximum number of requests per slot that a report counts for. It bounds the effect of a single
+/// wrong report.
 const MOST_PER_SLOT: u64 = 16;
 
-/// A surcharge that operators are told of, in thousandths of a slot: as much as going to another domain weighs
-/// for small answers.
+/// Surcharge from which a domain is reported to operators as spared, in thousandths of a slot. It
+/// equals the cost of leaving the domain for small answers.
 const NOTED: u64 = 150;
 
-/// How full one failure domain is for one service, as one balancer sees it.
+/// Utilization of one failure domain for one service, as seen by one balancer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Level {
-    /// The service.
+    /// Service that this level is about.
     pub service: Service,
-    /// The failure domain.
+    /// Failure domain that this level is about.
     pub domain: Arc<str>,
-    /// Requests for each slot, in thousandths; none while most of its agents are not heard of.
+    /// Requests per slot, in thousandths; `None` if too few of the domain's agents have reported
+    /// recently.
     pub utilization: Option<u64>,
-    /// The same of all other domains together, if any is known.
+    /// Utilization of all other domains together; `None` if it is not known for any.
     pub elsewhere: Option<u64>,
-    /// What each of its servers counts for in addition when a new flow is placed, in thousandths of a slot.
+    /// Load added to each server of the domain when a new flow is placed, in thousandths of a slot.
     pub surcharge: u64,
-    /// Whether operators were told that it is spared.
+    /// Whether operators were last notified that the domain is spared.
     pub is_spared: bool,
 }
 
-/// The levels that one balancer reckons, and where it sends new flows.
+/// Levels computed by one balancer, and the destinations of its recent openings.
 #[derive(Clone, Debug)]
 pub(super) struct Balance {
     own: Arc<str>,
@@ -74,17 +79,17 @@
     openings: Openings,
 }
 
-/// Openings sent lately: each counts a thousand at first, and less with time.
+/// Recent openings. Each counts for 1,000 at first and decays with time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Openings {
     near: u64,
     far: u64,
 }
 
-/// What the agents of one failure domain last said, summed over those of one service that take new flows.
+/// Sum of the latest loads of the agents of one service and failure domain that accept new flows.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sample {
-    /// Requests.
+    /// Requests in progress and waiting.
     busy: u64,
     /// Slots, in hundredths.
     capacity: u64,
@@ -95,26 +100,27 @@
 type Samples = BTreeMap<Arc<str>, Sample>;
 
 impl Balance {
-    /// Nothing is known yet to a balancer of this failure domain.
+    /// Creates a balance without any level, for a balancer in this failure domain.
     pub(super) fn open(own: Arc<str>) -> Self {
         let (services, openings) = (BTreeMap::new(), Openings::default());
         Self { own, stepped: Time::ZERO, services, openings }
     }
 
-    /// What a server of this failure domain counts for in addition, in thousandths of a slot.
+    /// Returns the load added to each server of a failure domain, in thousandths of a slot.
     pub(super) fn surcharge(&self, service: Service, domain: &str) -> u64 {
         let level = self.services.get(&service).and_then(|levels| levels.get(domain));
         level.map_or(0, |level| level.surcharge)
     }
 
-    /// Counts an opening that goes to this failure domain.
+    /// Counts an opening that is sent to this failure domain.
     pub(super) fn sent_to(&mut self, domain: &str) {
         let count =
             if *domain == *self.own { &mut self.openings.near } else { &mut self.openings.far };
         *count += 1_000;
     }
 
-    /// Goes on by `elapsed_ms` with what agents say now; returns the levels that operators are told of.
+    /// Advances by `elapsed_ms` with the current samples. Returns the levels to report to
+    /// operators.
     fn step(&mut self, elapsed_ms: u64, samples: &BTreeMap<Service, Samples>) -> Vec<Level> {
         self.openings.fade(elapsed_ms);
         self.services.retain(|service, _| samples.contains_key(service));
@@ -130,7 +136,7 @@
     }
 }
 
-/// The surcharge that utilizations here and elsewhere call for.
+/// Returns the surcharge for the utilization of a domain and that of the other domains.
 fn wanted(here: u64, elsewhere: u64) -> u64 {
     let excess = here.saturating_sub(elsewhere).saturating_sub(BAND).min(MOST);
     let room = FULL.saturating_sub(elsewhere).min(FULL - ROOMY);
@@ -178,8 +184,9 @@
         }
     }
 
-    /// Guards against judging a domain by the few agents that are still heard of while reports of it are late:
-    /// it would be flooded or starved for what the others did seconds ago.
+    /// Updates the utilization. It is unknown if at least half of the domain's agents are late: the
+    /// few remaining ones would decide whether the domain is overloaded or gets no flows, on
+    /// reports of the others that are seconds old.
     fn observe(&mut self, elapsed_ms: u64, sample: Sample) {
         if sample.fresh <= sample.late {
             self.utilization = None;
@@ -192,8 +199,8 @@
         self.utilization = Some(smoothed / SMOOTHING_MS);
     }
 
-    /// Moves the surcharge towards what the utilizations call for. Guards against swinging: all balancers of
-    /// all domains see the same reports, and answer them at once.
+    /// Moves the surcharge towards its target. The change is limited to prevent oscillation: all
+    /// balancers of all domains see the same reports and react at the same time.
     fn adapt(&mut self, elapsed_ms: u64) {
         let wanted = match (self.utilization, self.elsewhere) {
             (Some(here), Some(elsewhere)) => wanted(here, elsewhere),
@@ -204,7 +211,7 @@
         self.surcharge = wanted.clamp(least, self.surcharge + change);
     }
 
-    /// Whether a surcharge that matters began, or ended.
+    /// Returns whether a surcharge worth reporting began, or a reported one ended.
     const fn is_news(&self) -> bool {
         if self.is_spared { self.surcharge == 0 } else { self.surcharge >= NOTED }
     }
@@ -220,13 +227,14 @@
 }
 
 impl Pool {
-    /// Lets new flows leave failure domains that are far fuller than others, and counts what agents inherit,
-    /// for a balancer in this domain.
+    /// Enables the surcharge on failure domains with a high utilization and the tracking of
+    /// inherited flows, for a balancer in this domain.
     pub fn balance_domains(&mut self, own: Arc<str>) {
         self.balance = Some(Balance::open(own));
     }
 
-    /// Reckons how full the failure domains are, if it is time; returns those that begin or cease to be spared.
+    /// Updates the utilization of the failure domains if a step is due. Returns the levels of
+    /// domains that start or stop being spared.
     pub fn rebalance(&mut self, now: Time) -> Vec<Level> {
         let Some(mut balance) = self.balance.take() else {
             return Vec::new();
@@ -241,20 +249,21 @@
         told
     }
 
-    /// How full the failure domains are, by service.
+    /// Returns the levels of all services and failure domains.
     pub fn levels(&self) -> impl Iterator<Item = &Level> {
         let services = self.balance.iter().flat_map(|balance| balance.services.values());
         services.flat_map(BTreeMap::values)
     }
 
-    /// Openings that lately went to other failure domains, in thousandths of all; none if none went anywhere.
+    /// Returns the share of recent openings that went to other failure domains, in thousandths;
+    /// `None` if there was no recent opening.
     #[must_use]
     pub fn sent_abroad(&self) -> Option<u64> {
         let Openings { near, far } = self.balance.as_ref()?.openings;
         (near + far > 0).then(|| far * 1_000 / (near + far))
     }
 
-    /// What a candidate's failure domain adds to its load, in thousandths of a slot.
+    /// Returns the load added to a candidate for its failure domain, in thousandths of a slot.
     pub(super) fn surcharge(&self, service: Service, candidate: &Candidate) -> u64 {
         let domain = &candidate.announcement.domain;
         self.balance.as_ref().map_or(0, |balance| balance.surcharge(service, domain))
--- a/crates/nutmegkeel_core/src/l4/placement/candidate.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/candidate.rs
@@ -1,4 +1,4 @@
-//! What a balancer knows of one agent.
+//! State that a balancer keeps for each agent.
 
 use std::net::Ipv4Addr;
 
@@ -11,10 +11,11 @@
 use crate::l4::roster::Told;
 use crate::l4::route::{Kind, Service};
 
-/// Part of its slots that a cold backend server is worth, in percent, until its time of service is learnt.
+/// Share of its slots that a cold backend server counts for, in percent, until its service time is
+/// known.
 const COLD_PERCENT: u64 = 60;
 
-/// How one more request or flow weighs at a choice, in thousandths of a slot.
+/// Cost of one more request or flow when an agent is chosen, in thousandths of a slot.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Weights {
     busy: u64,
@@ -23,9 +24,9 @@
 }
 
 impl Weights {
-    /// Short flows follow what is in progress now. Long ones follow the number of flows: each brings requests for
-    /// as long as it lives, whatever is in progress now. Crossing a failure domain costs bytes, and a download has
-    /// most of them.
+    /// Short flows are placed by the requests in progress. Long flows are placed by the number of
+    /// flows: each causes requests for its whole life, whatever is in progress now. Leaving the
+    /// failure domain costs traffic between domains, which is largest for downloads.
     pub(super) const fn of(kind: Kind) -> Self {
         match kind {
             Kind::Idempotent => Self { busy: 250, flow: 250, far: 150 },
@@ -35,41 +36,42 @@
     }
 }
 
-/// A process that may have taken the place of another at its address.
+/// A process whose announcements carry an earlier start than those of the known process at its
+/// address.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Rival {
     incarnation: u64,
     number: u64,
 }
 
-/// What a balancer knows of one agent.
+/// State that a balancer keeps for one agent.
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
     pub(super) announcement: Announcement,
-    /// When that came.
+    /// Time of the last announcement.
     pub(super) announced: Time,
-    /// A process at the same address whose number says that it is older, as last heard of.
+    /// Last announcement at this address with an earlier start than that of the known process.
     pub(super) rival: Option<Rival>,
-    /// Last sign of any kind.
+    /// Time of the last announcement or answer, also as reported by a summary.
     pub(super) heard: Time,
-    /// When a summary last told of it, or it spoke for itself.
+    /// Time of the last report on the agent, by a summary or by itself.
     pub(super) seen: Time,
     pub(super) load_heard: Time,
     pub(super) load: Load,
     pub(super) placed_since: u16,
-    /// What the process before it left to it.
+    /// Flows inherited from the previous process at this address.
     pub(super) inherited: Option<Inheritance>,
-    /// Flows that its backend server holds and it does not know yet.
+    /// Flows that the backend server holds and the agent does not know yet.
     pub(super) missing: u16,
-    /// Whether its silence was noticed.
+    /// Whether the agent was returned as newly silent.
     pub(super) noticed: bool,
-    /// Whether it was noticed that signs are missing.
+    /// Whether the agent was returned as newly late.
     pub(super) noticed_late: bool,
-    /// What this balancer last told it of the balancers.
+    /// What this balancer last sent to the agent about the balancers.
     pub(super) told: Option<Told>,
-    /// What shows that its server is far slower than others; none if it is not.
+    /// Service times that make its server count as slow; `None` if it does not.
     pub(super) slowness: Option<Slowness>,
-    /// Open flows that it counts as having at least.
+    /// Minimum number of open flows that the agent counts for.
     pub(super) least_flows: u64,
 }
 
@@ -94,12 +96,14 @@
         }
     }
 
-    /// What an announcement from this agent's address changes. One with an earlier start than the
-    /// known process's is old, unless that process fell silent and this one goes on counting.
+    /// Returns the effect of an announcement from this agent's address. One with an earlier start
+    /// than the known process is stale, unless that process is silent and the sender has sent a
+    /// later announcement since.
     ///
-    /// Guards against a host whose time of day was set back before its agent started again: its number
-    /// is the smaller one for good, and its server would get no flow until the old process is
-    /// forgotten. A datagram that was held up cannot pass for it, since a dead process counts no more.
+    /// The exception covers a host whose clock was set back before its agent restarted: the new
+    /// process has the smaller incarnation for good, and without it its server would get no flows
+    /// until the old process is forgotten. A delayed datagram does not qualify, since a dead
+    /// process sends no later number.
     pub(super) fn change(&mut self, now: Time, word: &Announcement) -> Change {
         let known = &self.announcement;
         if word.incarnation >= known.incarnation {
@@ -114,14 +118,15 @@
         if goes_on && is_silent { Change::Appeared } else { Change::Stale }
     }
 
-    /// Its health for a process that could see its signs until `seen`.
+    /// Returns the health as seen by a process that received reports on the agent until then.
     pub(super) fn health(&self, seen: Sight) -> Health {
         let silence_ms = seen.until.since(self.heard);
         let health = Health::of(silence_ms, self.announcement.state == State::Restarting);
         if seen.is_blind { health.max(Health::Late) } else { health }
     }
 
-    /// Whether it may hold flows: it can be asked, or is away for a moment beside a backend server.
+    /// Returns whether the agent may hold flows: it can be queried, or it is late or restarting and
+    /// has a backend server.
     pub(super) fn may_hold(&self, seen: Sight) -> bool {
         match self.health(seen) {
             Health::Fresh => true,
@@ -136,13 +141,13 @@
             && self.health(seen) == Health::Fresh
     }
 
-    /// Whether this is its last word.
+    /// Returns whether this is the announcement that was applied last.
     pub(super) fn has_said(&self, word: &Announcement) -> bool {
         let known = &self.announcement;
         (known.incarnation, known.number) == (word.incarnation, word.number)
     }
 
-    /// What its answers showed of it.
+    /// Returns what the agent itself last reported.
     pub(super) const fn signs(&self) -> Signs {
         Signs {
             heard: self.heard,
@@ -152,7 +157,7 @@
         }
     }
 
-    /// Takes over later signs that were known before.
+    /// Restores what the agent itself reported, if that is later than a summary.
     pub(super) fn keep(&mut self, signs: Signs) {
         self.heard = self.heard.max(signs.heard);
         self.load_heard = signs.load_heard;
@@ -177,20 +182,19 @@
         }
     }
 
-    /// Whether it may be given nothing more now, because its server is cold.
+    /// Returns whether its cold backend server can accept no more openings for now.
     pub(super) fn is_full(&self) -> bool {
         self.announcement.room == Some(0)
     }
 
-    /// The choice of this agent.
     pub(super) const fn choice(&self, now: Time, agent: Ipv4Addr) -> Choice {
         Choice { agent, load: self.load, age_ms: now.since(self.load_heard) }
     }
 
-    /// What its room is reckoned from.
+    /// Returns the figures that its room is computed from.
     ///
-    /// Guards against a crowd that fills the slots of a slow server, which it has free because it is to have
-    /// little: what passes for room there is no more than its speed deserves.
+    /// The free slots of a slow server are bounded according to its speed. It has few flows and
+    /// thus many free slots on purpose; under overload, openings would otherwise fill them.
     pub(super) fn known(&self, now: Time) -> Known {
         let slots = self.announcement.slots;
         let while_cold = u64::from(slots) * COLD_PERCENT / 100;
@@ -205,7 +209,7 @@
         }
     }
 
-    /// Openings that it may be given because it is slow; none where that does not bound them.
+    /// Returns how many openings it may get while it is slow; `None` if it is not slow.
     fn room_while_slow(&self) -> Option<u32> {
         let percent = u32::try_from(self.slowness?.percent()).unwrap_or(u32::MAX);
         let slots = u32::from(self.announcement.slots).saturating_mul(percent) / 100;
@@ -213,7 +217,7 @@
         Some(slots.max(1).saturating_sub(taken))
     }
 
-    /// Takes one opening of what a cold server may be given.
+    /// Counts an opening that was sent to the agent, also against the room of a cold server.
     pub(super) fn give(&mut self) {
         self.placed_since = self.placed_since.saturating_add(1);
         if let Some(room) = &mut self.announcement.room {
@@ -221,24 +225,26 @@
         }
     }
 
-    /// Sets what the process before it left to it.
+    /// Sets the flows inherited from the previous process.
     pub(super) fn inherit(&mut self, now: Time, inherited: Option<Inheritance>) {
         self.inherited = inherited;
         self.count_missing(now);
     }
 
-    /// Counts anew which flows it does not know yet, after it said how many it knows.
+    /// Recomputes the number of flows that the agent does not know yet, after a report of its
+    /// flows.
     pub(super) fn count_missing(&mut self, now: Time) {
         let reported = self.load.flows;
         self.missing = self.inherited.map_or(0, |inherited| inherited.missing(now, reported));
     }
 
-    /// Flows that its backend server held when it was last heard of.
+    /// Returns the number of flows that its backend server held according to the last report.
     pub(super) const fn flows(&self) -> u16 {
         self.load.flows.saturating_add(self.missing)
     }
 
-    /// For how many slots its server counts, in hundredths: one slot at least, unless it is slow.
+    /// Returns the number of slots that its server counts for, in hundredths: at least one slot,
+    /// unless it is slow.
     pub(super) fn capacity(&self) -> u64 {
         let slots = u64::from(self.announcement.slots);
         match self.slowness {
@@ -248,8 +254,9 @@
         }
     }
 
-    /// Expected load with one more flow, in thousandths of its slots. What was placed since the last
-    /// report counts as if it were in progress, or all flows between two reports would go one way.
+    /// Returns the expected load with one more flow, in thousandths of its slots. Openings sent
+    /// since the last report count as requests in progress; otherwise all flows between two reports
+    /// would go to the same agent.
     pub(super) fn pressure(&self, weights: Weights, domain: &str) -> u64 {
         let slots = self.capacity();
         let busy = u64::from(self.load.busy) + u64::from(self.placed_since) + 1;
@@ -260,7 +267,7 @@
     }
 }
 
-/// What an agent's answers showed of it, which may be later than what is told of it.
+/// Data received directly from an agent, which may be later than that in a summary.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Signs {
     heard: Time,
@@ -269,15 +276,15 @@
     placed_since: u16,
 }
 
-/// Until when the signs of an agent could be seen.
+/// Period in which reports on an agent could be received.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Sight {
     pub(super) until: Time,
-    /// Whether nothing was heard or told of it lately.
+    /// Whether no report on the agent has arrived recently.
     pub(super) is_blind: bool,
 }
 
-/// The place of a service in a list, to which it is added if it is new.
+/// Returns the index of a service in a list, after adding it if it is new.
 fn place_of(service: Service, services: &mut Vec<Service>) -> usize {
     services.iter().position(|known| *known == service).unwrap_or_else(|| {
         services.push(service);
@@ -285,7 +292,7 @@
     })
 }
 
-/// What a word changes that comes of the known process or of one with a later start.
+/// Returns the effect of an announcement of the known process or of one with a later start.
 fn change_by_later(known: &Announcement, word: &Announcement) -> Change {
     if word.incarnation != known.incarnation {
         return Change::Appeared;
--- a/crates/nutmegkeel_core/src/l4/placement/evenness.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/evenness.rs
@@ -1,4 +1,4 @@
-//! How evenly the backend servers of a service are used, and how one that has just come fills up.
+//! How evenly the backend servers of a service are utilized, and how a new one is filled.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -9,19 +9,20 @@
 use crate::l4::message::State;
 use crate::l4::route::Service;
 
-/// How evenly the servers of a service are used.
+/// How evenly the servers of a service are utilized.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Evenness {
-    /// Part of its slots that are taken, on the mean of all servers, in thousandths.
+    /// Mean utilization of all servers, in thousandths of their slots.
     pub mean: u64,
-    /// The same of the busiest server.
+    /// Utilization of the busiest server, in thousandths of its slots.
     pub busiest: u64,
-    /// Servers that count as slow.
+    /// Number of servers that count as slow.
     pub slow: usize,
 }
 
 impl Pool {
-    /// How evenly each service's servers are used, as far as agents heard of lately tell.
+    /// Returns how evenly the servers of each service are utilized, based on agents with a recent
+    /// report.
     #[must_use]
     pub fn evenness(&self, now: Time) -> BTreeMap<Service, Evenness> {
         let services = self.members.keys().copied().flatten();
@@ -42,12 +43,14 @@
         evenness
     }
 
-    /// Sets as how full each server of a service counts at least: as its peers are, but for one flow a slot.
+    /// Sets the minimum number of flows that each server of a service counts for: the mean of its
+    /// peers, less one flow per slot.
     ///
-    /// Guards against a server that has just come, or has recovered, and draws the new flows of all balancers at
-    /// once: it has no flows, each balancer learns only with the next report what the others sent there, and the
-    /// first requests of all these flows meet in its queue. So it is preferred for as long as it is no busier
-    /// than the others by as much. A slow one is left out: it has few flows because it is to have few.
+    /// Without it, a server that has just started or recovered would attract the new flows of all
+    /// balancers at once: it has no flows, each balancer learns of the others' flows only with the
+    /// next report, and the first requests of these flows would queue there. With it, the server is
+    /// preferred only while it has fewer requests in progress than its peers by that margin. Slow
+    /// servers are exempt, because they are meant to have few flows.
     pub(super) fn set_least_flows(&mut self, now: Time, service: Service) {
         let (mut flows, mut slots) = (0, 0);
         for (_, candidate) in self.takers_of(now, service) {
@@ -74,7 +77,7 @@
 }
 
 impl Candidate {
-    /// Part of its slots that are taken, in thousandths.
+    /// Returns the requests in progress and waiting, in thousandths of its slots.
     fn utilization(&self) -> u64 {
         u64::from(self.load.busy) * 1_000 / u64::from(self.announcement.slots).max(1)
     }
--- a/crates/nutmegkeel_core/src/l4/placement/free.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/free.rs
@@ -1,4 +1,4 @@
-//! The room of backend servers, as a balancer knows it, and the choice of one that has some.
+//! Free slots of backend servers as known to a balancer, and the choice of an agent that has some.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -12,23 +12,24 @@
 use crate::l4::room::{Rank, Room};
 use crate::l4::route::{Kind, Service};
 
-/// The soonest that one of several backend servers can answer a request.
+/// Estimate of the earliest answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Soonest {
-    /// Backend servers that may take it and have not declined it.
+    /// Number of backend servers that may accept the request and have not declined it.
     pub servers: usize,
-    /// Time until the answer, in milliseconds; no order of service shortens it.
+    /// Minimum time until the answer, in milliseconds, in any order of service.
     pub least_ms: u64,
 }
 
 impl Pool {
-    /// As [`Self::choose`]; if that one is believed to have no free slot, the first of the flow's own order
-    /// that is believed to have one.
+    /// Chooses an agent as [`Self::choose`] does. If that agent has no known free slot, returns the
+    /// first agent in the flow's own order that has one.
     ///
-    /// Guards against openings that wait, or are refused, at the few agents that their flow's order begins
-    /// with while backend servers elsewhere are idle. The order is the flow's own, not that of the loads:
-    /// balancers with the same reports would all pick the least busy server, and fill it many times over
-    /// before the next report. A download goes to another failure domain only if that is worth its bytes.
+    /// Without it, openings wait or are refused at the first few agents of their order while other
+    /// backend servers are idle. Agents are taken in the flow's own order, not by load: balancers
+    /// with the same reports would all choose the least busy server and send it many times its free
+    /// slots before the next report. A download leaves its failure domain only if the lower load
+    /// outweighs the cost of its traffic.
     #[must_use]
     pub fn choose_free(&self, now: Time, need: &Need) -> Option<Choice> {
         let choice = self.choose(now, need)?;
@@ -55,13 +56,13 @@
         Some(free.map_or(choice, |(ranked, candidate)| candidate.choice(now, ranked.agent)))
     }
 
-    /// Whether an agent's backend server is believed to have a free slot.
+    /// Returns whether an agent's backend server is known to have a free slot.
     #[must_use]
     pub fn is_free(&self, now: Time, agent: Ipv4Addr) -> bool {
         self.agents.get(&agent).is_some_and(|candidate| candidate.known(now).free() > 0)
     }
 
-    /// The soonest answer to a flow's request, by what each agent last said.
+    /// Estimates the earliest answer to a flow's request from the last report of each agent.
     #[must_use]
     pub fn soonest(&self, now: Time, need: &Need, rank: Rank) -> Soonest {
         let takers = self.takers(now, need.service);
@@ -76,8 +77,8 @@
         })
     }
 
-    /// The room of each service in each failure domain, as far as its backend servers take new flows: one
-    /// that has none left there shows none, not what was last known.
+    /// Returns the room of each service in each failure domain, over the backend servers that
+    /// accept new flows. A domain without such servers is listed with no room.
     #[must_use]
     pub fn rooms(&self, now: Time) -> BTreeMap<(Service, Arc<str>), Room> {
         let mut rooms: BTreeMap<_, Room> = BTreeMap::new();
@@ -94,7 +95,8 @@
         rooms
     }
 
-    /// Whether an agent takes a new flow, if `takers` are those that get the service's.
+    /// Returns whether an agent accepts a new flow, where `takers` is the state that gets the flows
+    /// of the service.
     pub(super) fn takes(
         &self,
         now: Time,
--- a/crates/nutmegkeel_core/src/l4/placement/inheritance.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/inheritance.rs
@@ -1,8 +1,9 @@
-//! The open flows that a new process of an agent inherits and does not know yet.
+//! Open flows that a restarted agent inherits and does not know yet.
 //!
-//! The load pattern: agents restart in turn while their backend servers go on. A new process learns of a flow
-//! with the first packet that passes, so for seconds it reports a third of what its server holds. Taken at its
-//! word, it gets the new flows of all balancers, and its server ends up with twice the load of its peers.
+//! Agents restart one after another while their backend servers continue to run. A new process
+//! learns of a flow with the first packet that passes, so for seconds it reports only about a third
+//! of the flows that its server holds. If that number were used unchanged, all balancers would send
+//! it their new flows, and its server would end up with twice the load of its peers.
 
 use super::Change;
 use super::candidate::Candidate;
@@ -11,11 +12,11 @@
 use crate::l4::message::{Announcement, State};
 use crate::l4::route::Service;
 
-/// After so long a new process knows the flows that matter, in milliseconds: a long flow asks every few
-/// seconds, and most of the others have ended.
+/// Time after which a new process knows all flows that matter, in milliseconds. A long flow sends a
+/// request every few seconds, and most of the others have ended by then.
 const KNOWN_AFTER_MS: u64 = 8_000;
 
-/// What a process left to the one after it.
+/// Flows left by a process to its successor.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Inheritance {
     service: Service,
@@ -24,9 +25,9 @@
 }
 
 impl Inheritance {
-    /// What the sender of an announcement inherits, if its address is known and this is what it changed there.
-    /// Only a process that said that it restarts leaves something: after any other end the backend server may
-    /// be gone too.
+    /// Returns what the sender of an announcement inherits, given the previous state of its address
+    /// and the effect of the announcement. Only a process that announced its restart leaves flows:
+    /// after any other end, the backend server may be gone too.
     pub(super) fn next(
         now: Time,
         known: &Candidate,
@@ -49,8 +50,8 @@
         Some(Self { service, flows: known.flows(), since: now })
     }
 
-    /// Flows that the new process does not know yet when it reports so many: what is missing to those before,
-    /// and with time ever less, as flows end.
+    /// Returns the number of flows that the new process does not know yet when it reports this
+    /// many. The number is bounded by a limit that falls to zero with time, because flows end.
     pub(super) fn missing(self, now: Time, reported: u16) -> u16 {
         let left_ms = KNOWN_AFTER_MS.saturating_sub(now.since(self.since));
         let left = u64::from(self.flows) * left_ms / KNOWN_AFTER_MS;
--- a/crates/nutmegkeel_core/src/l4/placement/order.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/order.rs
@@ -1,4 +1,5 @@
-//! The order of agents for a flow: which get a new one, and which are asked for an open one.
+//! Order of the agents for a flow: which ones a new flow may go to, and which are asked for an open
+//! one.
 
 use std::cmp::Reverse;
 use std::net::Ipv4Addr;
@@ -9,17 +10,17 @@
 use crate::l4::route::Service;
 use crate::placement::{Key, mix};
 
-/// Agents of the client's own failure domain that a new flow chooses from. Two would leave one bad
-/// choice in four at 80% load; with more, a search asks more agents before it meets the right one.
+/// Number of agents in the client's failure domain that a new flow chooses from. With two, one
+/// choice in four is bad at 80% load; with more, a search asks more agents before the right one.
 const NEAR: usize = 3;
 
-/// Agents of other failure domains that a new flow chooses from besides.
+/// Number of agents in other failure domains that a new flow also chooses from.
 const FAR: usize = 2;
 
 impl Pool {
-    /// The best agent for a new flow among the first of its order, without those that were tried; when
-    /// all of these were tried, the best of all others. A cold one that has been given what it bears comes
-    /// last.
+    /// Chooses the agent with the lowest expected load among the first ones of the flow's order
+    /// that have not been tried; if all of these were tried, among all others. Cold agents without
+    /// room come last.
     #[must_use]
     pub fn choose(&self, now: Time, need: &Need) -> Option<Choice> {
         let Need { key, service, domain, tried, .. } = *need;
@@ -34,7 +35,7 @@
         let untried = |agent: &Ipv4Addr| !tried.contains(agent);
         let first = first_of(ranked).into_iter().filter(untried);
         let first = first.filter_map(|agent| Some((agent, self.agents.get(&agent)?)));
-        // Of equals the first in the order is taken, so that all balancers agree.
+        // Of equal loads the first in the order is taken, so that all balancers agree.
         let first = first.filter(|(_, candidate)| !candidate.is_full());
         let first = first.min_by_key(|(_, candidate)| pressure(candidate));
         let least = |(agent, candidate): &(Ipv4Addr, &Candidate)| {
@@ -46,12 +47,12 @@
         Some(candidate.choice(now, agent))
     }
 
-    /// The agents that are asked first for a flow: those that its opening was offered to before all others,
-    /// of each of the given services, or of each service there is if none is given.
+    /// Returns the agents that are asked first for a flow: those that its opening was offered to
+    /// before all others, for each of the given services, or for all services if none is given.
     ///
-    /// Guards against searches that ask a whole failure domain before the two agents of other domains
-    /// that openings go to: with 22 agents in each of five domains that is 20 questions for two flows in
-    /// five, each a round trip while the client waits.
+    /// It includes the agents of other failure domains that openings go to. A search through the
+    /// whole own domain first would cost two flows in five one round trip per agent of the domain
+    /// while the client waits.
     #[must_use]
     pub fn search_first(&self, key: Key, services: &[Service], domain: &str) -> Vec<Ipv4Addr> {
         let given = services.iter().map(|service| Some(*service));
@@ -63,8 +64,9 @@
         given.chain(all).flat_map(first).collect()
     }
 
-    /// All agents in the order in which they are asked for a flow: after [`Self::search_first`] those of the
-    /// given services, then the others, because a route may have moved since the flow was opened.
+    /// Returns all agents in the order in which they are asked for a flow: [`Self::search_first`],
+    /// then the other agents of the given services, then all others, because the route may have
+    /// changed since the flow was opened.
     #[must_use]
     pub fn search(&self, key: Key, services: &[Service], domain: &str) -> Vec<Ipv4Addr> {
         let first = self.search_first(key, services, domain);
@@ -80,7 +82,8 @@
     }
 }
 
-/// Place of an agent in the order for one key: the client's own failure domain first, then the higher hash.
+/// Rank of an agent in the order for one key: agents in the client's failure domain first, then by
+/// descending hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Ranked {
     pub(super) near: bool,
@@ -96,7 +99,7 @@
     }
 }
 
-/// The first agents of the client's own failure domain, then the first of others.
+/// Returns the first agents in the client's failure domain, then the first in other domains.
 fn first_of(ranked: impl Iterator<Item = Ranked>) -> Vec<Ipv4Addr> {
     let (mut near, mut far) = (Vec::new(), Vec::new());
     for one in ranked {
@@ -109,7 +112,7 @@
     near.into_iter().chain(far).map(|one| one.agent).collect()
 }
 
-/// Inserts into a list in descending order that keeps its first `most`.
+/// Inserts into a descending list that keeps its first `most` entries.
 fn insert_among_first(first: &mut Vec<Ranked>, most: usize, one: Ranked) {
     let place = first.partition_point(|other| *other > one);
     if place < most {
--- a/crates/nutmegkeel_core/src/l4/placement/report.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/report.rs
@@ -1,4 +1,4 @@
-//! What balancers of different failure domains tell each other of their agents.
+//! Summaries of agents that balancers of different failure domains exchange.
 
 use std::sync::Arc;
 
@@ -8,16 +8,16 @@
 use crate::l4::health::{Health, SILENT_MS, SUMMARY_MS};
 use crate::l4::message::{Report, Summary};
 
-/// Balancers elsewhere are told of an agent for so long after its last sign, in milliseconds: past the time
-/// after which they give it up too.
+/// Time for which an agent is included in summaries after it was last seen, in milliseconds.
+/// Other balancers have given it up by then too.
 const TOLD_MS: u64 = 2 * SILENT_MS;
 
-/// What a summary repeats within this time is no news, in milliseconds: the two speakers of one slot see nearly the
-/// same, and the next slot is twice as far away.
+/// Time within which an unchanged report is a duplicate, in milliseconds. The two senders of one
+/// summary slot report nearly the same, and the next slot is twice as far away.
 const REPEATED_MS: u64 = SUMMARY_MS / 2;
 
 impl Pool {
-    /// Whether somebody has just told the same of an agent.
+    /// Returns whether the same report on an agent has just been applied.
     #[must_use]
     pub fn is_repeated(&self, now: Time, report: &Report) -> bool {
         self.agents.get(&report.agent).is_some_and(|known| {
@@ -27,7 +27,7 @@
         })
     }
 
-    /// Takes in what a balancer of another failure domain heard of an agent there.
+    /// Applies a report of a balancer in another failure domain on an agent there.
     pub fn reported(&mut self, now: Time, summary: &Summary, report: &Report) -> Change {
         let word = summary.announcement(report);
         let heard = now.before(u64::from(report.age_ms));
@@ -44,7 +44,7 @@
             && let Some(known) = self.agents.get_mut(&report.agent)
         {
             known.seen = now;
-            // What the agent itself said since, with an answer, is newer.
+            // A load that the agent sent with an answer since then is newer.
             if let Some(signs) = signs.filter(|signs| signs.load_heard > heard) {
                 known.keep(signs);
             }
@@ -52,7 +52,8 @@
         change
     }
 
-    /// What the agents of the own failure domain last said, which speak to this process themselves.
+    /// Returns the last announcements and loads of the agents in the own failure domain, which
+    /// announce themselves here.
     #[must_use]
     pub fn summary(&self, now: Time, domain: &Arc<str>) -> Summary {
         let is_meant = |candidate: &Candidate| {
@@ -66,7 +67,8 @@
         summary
     }
 
-    /// What is known of the agents of the own failure domain that became late since the last call.
+    /// Returns a summary of the agents in the own failure domain that became late since the last
+    /// call.
     pub fn newly_late(&mut self, now: Time, domain: &Arc<str>) -> Summary {
         let is_new = |candidate: &Candidate| {
             !candidate.noticed_late
--- a/crates/nutmegkeel_core/src/l4/placement/signs.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/signs.rs
@@ -1,4 +1,4 @@
-//! What signs of life tell of agents: who is there, who is gone, and what may be concluded from that.
+//! Liveness of agents: which ones are alive, which are lost, and what follows from that.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -10,16 +10,19 @@
 use crate::l4::health::{FORGET_MS, Health, LOST_MS, OUT_OF_SIGHT_MS};
 use crate::l4::message::Load;
 
-/// An agent that has announced itself no more often than this has started within one to three seconds:
-/// each of its ticks counts while a balancer has not answered it.
+/// Number of announcements up to which an agent counts as recently started. It corresponds to one
+/// to three seconds, because the number also advances with each tick while a balancer has not
+/// answered.
 const YOUNG: u64 = 10;
 
 impl Pool {
-    /// Until when signs of an agent could be seen: one elsewhere speaks for itself only at times, and otherwise
-    /// a summary tells how old its last sign is.
+    /// Returns until when reports on an agent could be received. An agent in another failure domain
+    /// announces itself here only at times; otherwise summaries report the age of its last
+    /// heartbeat.
     ///
-    /// Guards against taking agents for dead, and resetting their flows, when only those who tell of them are
-    /// gone, or have just come back and leave some out: an agent is judged by its own silence alone.
+    /// An agent is thus judged by its own silence only. It is not declared dead, and its flows are
+    /// not reset, because the balancers that report on it are gone, or have just restarted and omit
+    /// some agents.
     pub(super) fn sight(&self, now: Time, candidate: &Candidate) -> Sight {
         let own = self.domain.as_ref();
         if own.is_none_or(|own| *own == candidate.announcement.domain) {
@@ -37,7 +40,7 @@
         candidate.health(self.sight(now, candidate))
     }
 
-    /// Takes in the load that an agent sent with an answer.
+    /// Applies the load that an agent sent with an answer.
     pub fn heard(&mut self, now: Time, from: Ipv4Addr, load: Load) {
         if let Some(candidate) = self.agents.get_mut(&from) {
             candidate.heard = now;
@@ -50,7 +53,7 @@
         }
     }
 
-    /// Agents that fell silent without notice since the last call.
+    /// Returns the agents that became silent without notice since the last call.
     pub fn newly_silent(&mut self, now: Time) -> Vec<Ipv4Addr> {
         let is_new = |candidate: &Candidate| {
             !candidate.noticed && self.health_of(now, candidate) == Health::Silent
@@ -60,7 +63,7 @@
         silent
     }
 
-    /// The health of an agent; none if it is not known.
+    /// Returns the health of an agent; `None` if it is not known.
     #[must_use]
     pub fn health(&self, now: Time, agent: Ipv4Addr) -> Option<Health> {
         self.agents.get(&agent).map(|candidate| self.health_of(now, candidate))
@@ -70,13 +73,13 @@
         self.agents.values().filter(move |one| self.health_of(now, one) <= Health::Late)
     }
 
-    /// Number of agents heard of lately.
+    /// Returns the number of agents seen recently.
     #[must_use]
     pub fn heard_of(&self, now: Time) -> usize {
         self.lately_heard(now).count()
     }
 
-    /// Agents heard of lately, by failure domain.
+    /// Returns the number of agents seen recently, by failure domain.
     #[must_use]
     pub fn domains(&self, now: Time) -> BTreeMap<Arc<str>, usize> {
         let mut domains = BTreeMap::new();
@@ -86,16 +89,17 @@
         domains
     }
 
-    /// Whether less than half of the agents heard of within a minute are heard of now. Then it is
-    /// likelier that this process is cut off than that they all died at once.
+    /// Returns whether less than half of the agents seen within a minute are seen now. It is then
+    /// more likely that this process is cut off than that all of them died at once.
     #[must_use]
     pub fn is_cut_off(&self, now: Time) -> bool {
         self.heard_of(now) * 2 < self.agents.len() || self.agents.is_empty()
     }
 
-    /// Whether what no agent holds does not exist. An agent that is late or restarting may hold it,
-    /// if it ever spoke of a backend server. One that fell silent without notice is dead or cut off, and its flows are lost either way;
-    /// unless it is this process that is cut off.
+    /// Returns whether a flow that no agent holds does not exist. An agent that is late or
+    /// restarting may hold it if it has a backend server. One that became silent without notice is
+    /// dead or cut off, and its flows are lost either way, unless this process is the one that is
+    /// cut off.
     #[must_use]
     pub fn is_conclusive(&self, now: Time) -> bool {
         let undecided = |candidate: &Candidate| {
@@ -105,25 +109,26 @@
         !self.is_cut_off(now) && !self.agents.values().any(undecided)
     }
 
-    /// Whether every agent known has started only lately, as after a loss of power.
+    /// Returns whether all known agents have started recently, as after a power failure.
     #[must_use]
     pub fn is_young(&self) -> bool {
         self.agents.values().all(|candidate| candidate.announcement.number <= YOUNG)
     }
 
-    /// Whether an agent may hold flows.
+    /// Returns whether an agent may hold flows.
     #[must_use]
     pub fn may_hold(&self, now: Time, agent: Ipv4Addr) -> bool {
         self.agents.get(&agent).is_some_and(|one| one.may_hold(self.sight(now, one)))
     }
 
-    /// Forgets agents that are gone for longer than any flow lives.
+    /// Forgets agents that have been silent for longer than any flow lives.
     pub fn forget(&mut self, now: Time) {
         let gone = self.find(|candidate| now.since(candidate.heard) >= FORGET_MS);
         gone.into_iter().for_each(|agent| self.remove(agent));
     }
 
-    /// Shifts all waiting by a span in which this process stood still: it could not have heard.
+    /// Extends all timeouts by a period in which this process did not run and could receive
+    /// nothing.
     pub fn forgive(&mut self, span_ms: u64) {
         for candidate in self.agents.values_mut() {
             candidate.heard = candidate.heard.after(span_ms);
--- a/crates/nutmegkeel_core/src/l4/placement/uneven.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/uneven.rs
@@ -1,8 +1,10 @@
-//! Which backend servers are far slower than their peers, and for how much their slots count.
+//! Detects backend servers that are far slower than their peers and reduces the number of slots
+//! that they count for.
 //!
-//! The load pattern: some servers of a service become several times slower and say that they are well. Long
-//! flows are bound for their lives, so what matters is that new ones go elsewhere at once. Servers are compared
-//! with the others of their service only: where all are slow, the work is, and there is nowhere else to go.
+//! Some servers of a service may become several times slower while they report that they are
+//! healthy. Open flows cannot leave a server, so new flows must avoid it at once. Servers are
+//! compared only within their service: if all are slow, the requests themselves take longer, and
+//! there is no better server.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -17,65 +19,71 @@
 use crate::l4::route::Service;
 use crate::l4::speed::LONGEST_MS;
 
-/// A server counts as slow from this part of its peers' time on, in percent: one that takes twice the usual
-/// time still answers within an objective, and a chance run of long requests stays below.
+/// Service time from which a server counts as slow, in percent of its peers'. A server that takes
+/// twice the usual time still answers within an objective, and a random run of long requests stays
+/// below this bound.
 const SLOW_PERCENT: u64 = 250;
 
-/// A slow server counts as such until it is below this part of its peers' time, in percent, so that one whose
-/// time wavers about a bound is not judged anew with each report.
+/// Service time below which a slow server no longer counts as slow, in percent of its peers'. The
+/// distance from [`SLOW_PERCENT`] keeps a time that varies about one bound from changing the result
+/// with each report.
 const USUAL_PERCENT: u64 = 140;
 
-/// A server that takes no more than this longer than its peers is not slow, in milliseconds: a few times very
-/// little, told in whole milliseconds, is nothing.
+/// Difference to the peers' service time up to which a server is not slow, in milliseconds. A
+/// multiple of a time of few milliseconds, reported in whole milliseconds, is not significant.
 const SLACK_MS: u64 = 5;
 
-/// For so much its slots count at least, in percent: some requests must go there to show that it recovered.
+/// Minimum share of its slots that a slow server counts for, in percent. It needs some requests to
+/// show that it has recovered.
 const LEAST_PERCENT: u64 = 12;
 
-/// Servers that a service must have for any of them to be judged: of two nobody can say which is slow.
+/// Minimum number of servers of a service for a comparison. With two, it is unknown which one is
+/// slow.
 const FEWEST: usize = 3;
 
-/// One server of so many may count as slow: the others must be able to take its load.
+/// One in this many servers may count as slow. The others must be able to take its load.
 const ONE_IN: usize = 3;
 
-/// A load older than this tells nothing of the present, in milliseconds.
+/// Age from which a load is too old for a comparison, in milliseconds.
 const STALE_MS: u64 = OUT_OF_SIGHT_MS;
 
-/// By how much more a server counts as slow that did before, in percent. Guards against two servers that take
-/// turns at the last place which the limit leaves.
+/// Weight of a server that already counts as slow, in percent. It keeps two servers from
+/// alternating in the last place that the limit on slow servers allows.
 const STAY_PERCENT: u64 = 150;
 
-/// A server's time beside that of its peers.
+/// Service time of a server and that of its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Slowness {
-    /// Time that one of its slots works on a request, in milliseconds.
+    /// Time that a slot of the server works on a request, in milliseconds.
     pub service_ms: u16,
-    /// The middle one of the times of its service's servers, in milliseconds.
+    /// Median service time of the servers of its service, in milliseconds.
     pub usual_ms: u16,
 }
 
 impl Slowness {
-    /// For how much its slots count, in percent of its peers': by the square of its speed. It does so much less
-    /// of the work, and so much less of an objective is left for waiting once it works on a request.
+    /// Returns the share of its slots that the server counts for, in percent: the square of its
+    /// relative speed. It handles proportionally fewer requests, and a request in progress leaves
+    /// proportionally less time for waiting within an objective.
     pub(super) fn percent(self) -> u64 {
         let speed = 100 * u64::from(self.usual_ms) / u64::from(self.service_ms).max(1);
         (speed * speed / 100).clamp(LEAST_PERCENT, 100)
     }
 }
 
-/// That a server began or ceased to count as slow.
+/// A server that started or ceased to count as slow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// Its agent.
+    /// Agent of the server.
     pub agent: Ipv4Addr,
-    /// Whether it counts as slow now.
+    /// Whether the server counts as slow now.
     pub is_slow: bool,
-    /// What that rests on.
+    /// Service times that the verdict is based on.
     pub times: Slowness,
 }
 
 impl Pool {
-    /// Compares the agents of each service by what they last told; says whose standing changed.
+    /// Compares the agents of each service by their last reports. Returns those whose verdict
+    /// changed.
     pub fn compare_speeds(&mut self, now: Time) -> Vec<Verdict> {
         let services: Vec<Service> = self.members.keys().copied().flatten().collect();
         let mut verdicts = Vec::new();
@@ -90,7 +98,7 @@
         let usual_ms = self.usual_ms(now, service);
         let slow = match usual_ms {
             Some(usual_ms) => self.slow_ones(now, service, usual_ms),
-            // The others are there and have told nothing lately: that clears nobody.
+            // Enough other servers are present but have no recent report: that clears none.
             None if self.known(now, service).count() >= FEWEST => return Vec::new(),
             None => Vec::new(),
         };
@@ -110,7 +118,7 @@
         verdicts
     }
 
-    /// The middle one of the times of a service's servers; none with too few of them.
+    /// Returns the median service time of a service's servers; `None` if there are too few.
     fn usual_ms(&self, now: Time, service: Service) -> Option<u16> {
         let members = self.members(Some(service));
         let mut times: Vec<u16> = members.filter_map(|(_, one)| one.compared(now)).collect();
@@ -121,7 +129,8 @@
         times.get((times.len() - 1) / 2).copied()
     }
 
-    /// The servers that count as slow: the slowest first, and no more than the others can stand in for.
+    /// Returns the agents of the servers that count as slow: the slowest first, limited to what the
+    /// others can take over.
     fn slow_ones(&self, now: Time, service: Service, usual_ms: u16) -> Vec<Ipv4Addr> {
         let most = self.known(now, service).count() / ONE_IN;
         let mut slow: Vec<_> = self
@@ -133,13 +142,13 @@
         slow.into_iter().map(|(_, agent)| agent).collect()
     }
 
-    /// The agents of a service that are not given up.
+    /// Returns the agents of a service that are not silent.
     fn known(&self, now: Time, service: Service) -> impl Iterator<Item = (Ipv4Addr, &Candidate)> {
         let members = self.members(Some(service));
         members.filter(move |(_, one)| self.health_of(now, one) < Health::Silent)
     }
 
-    /// The servers that count as slow, by agent.
+    /// Returns the servers that count as slow, by agent.
     #[must_use]
     pub fn slow(&self) -> BTreeMap<Ipv4Addr, Slowness> {
         let slow = self.agents.iter();
@@ -148,8 +157,9 @@
 }
 
 impl Candidate {
-    /// The time by which it is compared with its peers; none if it tells none, has told nothing lately, or is
-    /// cold, which is no slowness. An absurd time counts as none: it must neither draw nor starve anybody.
+    /// Returns the service time to compare with that of its peers; `None` without a recent one, or
+    /// while the server is cold, which does not count as slow. An implausible time is ignored, so
+    /// that it neither attracts flows nor keeps them from a server.
     fn compared(&self, now: Time) -> Option<u16> {
         let is_fresh = now.since(self.load_heard) <= STALE_MS;
         let service_ms = self.load.service_ms;
@@ -157,8 +167,8 @@
         (is_fresh && is_known && !self.announcement.cold).then_some(service_ms)
     }
 
-    /// If it is slow enough to count so: its place among those, the slowest having the highest. One that has
-    /// told nothing lately stays what it was.
+    /// Returns the weight of a server that is slow enough to count as such; a higher weight takes
+    /// precedence. Without a recent report the server stays what it was.
     fn weight_as_slow(&self, now: Time, usual_ms: u16) -> Option<u64> {
         let Some(known) = self.slowness else {
             let service_ms = u64::from(self.compared(now)?);
--- a/crates/nutmegkeel_core/src/l4/room.rs
+++ b/crates/nutmegkeel_core/src/l4/room.rs
@@ -1,8 +1,9 @@
-//! How much more a service can take, reckoned from what its agents last said.
+//! Estimates how many more requests a service can accept, from the last reports of its agents.
 //!
-//! The load pattern: a crowd asks for more than all slots can do. Openings wait or are refused at the few
-//! agents that they were offered to while servers elsewhere are idle; and what cannot be answered within its
-//! deadline anywhere takes the time of requests that can.
+//! Under overload, requests exceed the slots of a service. Without an estimate, openings wait or
+//! are refused at the few agents that they are offered to while other servers are idle, and
+//! requests that no server can answer before their deadline use the time of those that could be
+//! answered.
 
 mod crowd;
 mod returns;
@@ -12,52 +13,54 @@
 
 use super::health::{ANNOUNCE_MS, SUMMARY_MS};
 
-/// A report older than this shows no room, in milliseconds: one announcement and one summary with some delay.
+/// Age up to which a report shows room, in milliseconds: one announcement interval, one summary
+/// interval and some delay.
 pub const BELIEVED_MS: u64 = ANNOUNCE_MS + SUMMARY_MS + 100;
 
-/// A longer time of service is not believed, in milliseconds: no request has more time.
+/// Longest plausible service time, in milliseconds. No request has a longer deadline.
 const LONGEST_SERVICE_MS: u64 = 10_000;
 
-/// What is known of one backend server that may take a flow.
+/// Last reported state of one backend server that may accept a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Known {
-    /// Requests that it works on at once; less than it has while it is cold.
+    /// Requests that it processes at once; fewer than its slots while it is cold.
     pub slots: u16,
     /// Requests in progress and waiting, as reported.
     pub busy: u16,
-    /// Openings that were sent there since.
+    /// Openings sent to it since the report.
     pub placed: u16,
-    /// How long a slot works on a request, in milliseconds; zero while that is not known.
+    /// Time that a slot works on a request, in milliseconds; zero if it is not known.
     pub service_ms: u16,
     /// Age of the report, in milliseconds.
     pub age_ms: u64,
-    /// Openings that it may be given because it is cold or slow; none where nothing bounds them.
+    /// Maximum number of openings while it is cold or slow; `None` if there is no such limit.
     pub bound: Option<u32>,
 }
 
-/// How much of what waits at a server goes before a request, because it is more urgent.
+/// Share of the requests waiting at a server that are served before a request because they are more
+/// urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rank {
-    /// Degrees of urgency among the routes of the service that are above the request's.
+    /// Degrees of urgency above that of the request among the routes of the service.
     pub above: u64,
-    /// All degrees among them; one at least.
+    /// All degrees of urgency among them; at least one.
     pub degrees: u64,
 }
 
 impl Rank {
-    /// Of a request that nothing goes before.
+    /// Rank of a request that no other is served before.
     pub const FIRST: Self = Self { above: 0, degrees: 1 };
 }
 
 impl Known {
-    /// Whether its report is recent enough to show room.
+    /// Returns whether the report is recent enough to show room.
     #[must_use]
     pub const fn is_believed(&self) -> bool {
         self.age_ms <= BELIEVED_MS
     }
 
-    /// Slots believed free. A report that is old shows none, or all balancers would go by it long after the
-    /// server filled up.
+    /// Returns the number of slots known to be free. An old report shows none; otherwise all
+    /// balancers would use it long after the server filled up.
     #[must_use]
     pub fn free(&self) -> u32 {
         if !self.is_believed() {
@@ -68,11 +71,13 @@
         self.bound.map_or(free, |bound| free.min(bound))
     }
 
-    /// Time until an answer to one more request, in milliseconds, which no order of service shortens: what
-    /// the slots work on, and the part of what waits that goes before it. Zero where it is not known.
+    /// Returns the minimum time until one more request is answered, in milliseconds, in any order
+    /// of service: the requests in progress and the share of waiting requests that is more urgent.
+    /// Zero if it is not known.
     ///
-    /// Agents serve first what can be in time, and the newest of it, so what else waits is no reason to
-    /// refuse a new request. A stale report counts with the work that may have been done since.
+    /// Agents first serve requests that can be answered in time, the newest of them first. Other
+    /// waiting requests are therefore no reason to refuse a new one. For an old report, the work
+    /// that may have been done since is subtracted.
     #[must_use]
     pub fn least_ms(&self, rank: Rank) -> u64 {
         let Some(service_ms) = self.service_ms() else {
@@ -85,29 +90,30 @@
         (at_work + before).saturating_sub(done) / slots * service_ms
     }
 
-    /// Work that it has beyond its slots, in milliseconds of one slot.
+    /// Returns the work beyond its slots, in milliseconds of one slot.
     fn backlog_ms(&self) -> u64 {
         let taken = u64::from(self.busy) + u64::from(self.placed);
         taken.saturating_sub(u64::from(self.slots)) * self.service_ms().unwrap_or_default()
     }
 
-    /// Guards against a server that says hours and, with others like it, would have everybody refused.
+    /// Returns the service time if it is known and plausible. Servers that report hours would
+    /// otherwise cause all openings to be refused.
     fn service_ms(&self) -> Option<u64> {
         let service_ms = u64::from(self.service_ms);
         (1..=LONGEST_SERVICE_MS).contains(&service_ms).then_some(service_ms)
     }
 }
 
-/// Room of several backend servers of a service together.
+/// Combined room of several backend servers of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Room {
-    /// Servers that take new flows.
+    /// Number of servers that accept new flows.
     pub servers: u32,
-    /// Those among them whose report is too old to show room.
+    /// Number of those servers whose report is too old to show room.
     pub doubtful: u32,
-    /// Their slots.
+    /// Number of slots of the servers.
     pub slots: u32,
-    /// Slots believed free.
+    /// Number of slots known to be free.
     pub free: u32,
     backlog_ms: u64,
 }
@@ -122,8 +128,8 @@
         self.backlog_ms += known.backlog_ms();
     }
 
-    /// Expected time until a slot comes free for one more request if the first come is the first served, in
-    /// milliseconds; zero while one is free, and while the time of service is not known.
+    /// Returns the expected time until a slot becomes free for one more request in first-come,
+    /// first-served order, in milliseconds; zero if one is free or the service time is not known.
     #[must_use]
     pub fn wait_ms(&self) -> u64 {
         if self.free > 0 { 0 } else { self.backlog_ms / u64::from(self.slots.max(1)) }
--- a/crates/nutmegkeel_core/src/l4/room/returns.rs
+++ b/crates/nutmegkeel_core/src/l4/room/returns.rs
@@ -1,4 +1,4 @@
-//! Callers that were refused for want of room, until they come back.
+//! Remembers callers whose openings were refused for lack of room, to recognize their retries.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -6,33 +6,34 @@
 use crate::clock::Time;
 use crate::l4::flow::Flow;
 
-/// Callers remembered at most, each by one route: some 200 bytes each.
+/// Maximum number of callers remembered, counted once per route. Each takes about 200 bytes.
 pub const REMEMBERED: usize = 4_096;
 
-/// A caller that has not come back within this has given up, in milliseconds.
+/// Time after which a caller that has not retried has given up, in milliseconds.
 pub const REMEMBERED_MS: u64 = 5_000;
 
-/// A caller's address, and the route that it was refused at.
+/// Address of a caller and the route that refused it.
 type Caller = (Ipv4Addr, SocketAddrV4);
 
-/// Refusals of one caller.
+/// Refusals of one caller at one route.
 #[derive(Clone, Copy, Debug)]
 struct Refusals {
     count: u16,
     last: Time,
 }
 
-/// Callers that were refused lately. Each refusal is good for one return, so that a caller with one refusal
-/// does not bring all its other flows before those of others.
+/// Callers that were refused recently. Each refusal counts for one retry only, so that a caller
+/// with one refusal does not get precedence for all its other flows.
 #[derive(Clone, Debug, Default)]
 pub struct Returns {
     callers: BTreeMap<Caller, Refusals>,
-    /// The same by their last refusal, to drop the oldest.
+    /// The same callers by their last refusal, to drop the oldest first.
     by_age: BTreeSet<(Time, Caller)>,
 }
 
 impl Returns {
-    /// Notes that a flow was refused. In place of one caller too many the oldest is forgotten.
+    /// Records that a flow was refused. If there are too many callers, the one with the oldest
+    /// refusal is forgotten.
     pub fn refused(&mut self, now: Time, flow: &Flow) {
         let caller = caller(flow);
         let known = self.callers.get(&caller).copied();
@@ -48,7 +49,7 @@
         self.by_age.insert((now, caller));
     }
 
-    /// Whether a new flow is the return of a refused one; that return is used up then.
+    /// Returns whether a new flow is the retry of a refused one, and uses up that refusal.
     pub fn claim(&mut self, now: Time, flow: &Flow) -> bool {
         self.expire(now);
         let caller = caller(flow);
@@ -64,7 +65,7 @@
         true
     }
 
-    /// Forgets callers that have not come back.
+    /// Forgets callers that have not retried in time.
     pub fn expire(&mut self, now: Time) {
         while let Some((last, caller)) = self.by_age.first().copied()
             && now.since(last) > REMEMBERED_MS
@@ -74,13 +75,13 @@
         }
     }
 
-    /// Number of callers remembered.
+    /// Returns the number of callers remembered.
     #[must_use]
     pub fn len(&self) -> usize {
         self.callers.len()
     }
 
-    /// Whether no caller is remembered.
+    /// Returns whether no caller is remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.callers.is_empty()
