--- a/crates/nutmegkeel_core/tests/l4/balance.rs
+++ b/crates/nutmegkeel_core/tests/l4/balance.rs
@@ -1,4 +1,4 @@
-//! Demand that moves between failure domains.
+//! Demand that differs or shifts between failure domains.
 
 mod fleet;
 
@@ -22,7 +22,7 @@
 
 const FAR: &str = "tema";
 
-/// The highest surcharge, in thousandths of a slot.
+/// Upper bound of a surcharge, in thousandths of a slot.
 const MOST: u64 = 3_000;
 
 const NONE: u64 = 0;
@@ -31,14 +31,14 @@
     Announcement { domain: FAR.into(), ..word(number, State::Ready, load) }
 }
 
-/// A pool that reckons how full its failure domains are.
+/// Returns a pool that balances failure domains.
 fn pool() -> Pool {
     let mut pool = Pool::default();
     pool.balance_domains(DOMAIN.into());
     pool
 }
 
-/// Hears of two agents in the own domain and two in another each 300 ms, until `until_ms`.
+/// Announces two agents in the own domain and two in another every 300 ms, until `until_ms`.
 fn hear(pool: &mut Pool, near: Load, far: Load, from_ms: u64, until_ms: u64) {
     for now in (from_ms..=until_ms).step_by(100) {
         if now % 300 == 0 {
@@ -56,7 +56,7 @@
 }
 
 fn level<'pool>(pool: &'pool Pool, domain: &str) -> &'pool Level {
-    pool.levels().find(|level| *level.domain == *domain).expect("it was heard of")
+    pool.levels().find(|level| *level.domain == *domain).expect("the domain has a level")
 }
 
 fn chosen(pool: &Pool, now: u64, need: &Need) -> Option<Ipv4Addr> {
@@ -67,8 +67,9 @@
     [host(1), host(2)]
 }
 
-/// The servers of the own domain have fewer flows, which ask much, and queue. New long flows go on coming,
-/// because a flow less weighs as much as a request more.
+/// The servers of the own domain have fewer flows, but these send many requests, which queue.
+/// Without a surcharge new long flows still go there, because one flow less weighs as much as one
+/// request more.
 #[test]
 fn long_flows_leave_a_domain_that_queues_though_it_holds_fewer() {
     let (near, far) = (load(16, 80), load(4, 90));
@@ -79,8 +80,8 @@
 
     let need = need(flow(1).key(), Kind::Idempotent, &[]);
 
-    assert!(near_agents().contains(&chosen(&without, 3_000, &need).expect("all are open")));
-    assert!(!near_agents().contains(&chosen(&with, 3_000, &need).expect("all are open")));
+    assert!(near_agents().contains(&chosen(&without, 3_000, &need).expect("all agents are ready")));
+    assert!(!near_agents().contains(&chosen(&with, 3_000, &need).expect("all agents are ready")));
 }
 
 #[test]
@@ -92,7 +93,8 @@
     assert_eq!((level(&pool, DOMAIN).surcharge, level(&pool, FAR).surcharge), (NONE, NONE));
 }
 
-/// All domains queue, one of them more. Its flows would wait elsewhere too, and the others' for them.
+/// All domains queue, one of them more than the others. Flows would wait elsewhere too, so moving
+/// them gains nothing.
 #[test]
 fn nothing_moves_while_there_is_no_room_anywhere() {
     let mut pool = pool();
@@ -109,15 +111,15 @@
 
     let goes_far = |kind| {
         let agent = chosen(&pool, 5_000, &need(flow(1).key(), kind, &[]));
-        !near_agents().contains(&agent.expect("all are open"))
+        !near_agents().contains(&agent.expect("all agents are ready"))
     };
 
     assert!(goes_far(Kind::Once));
     assert!(!goes_far(Kind::Download));
 }
 
-/// The first sample of a balancer that has just started shows a full domain: it must not swing at once to
-/// what others reached step by step.
+/// The first sample of a balancer that has just started shows a full domain. Its surcharge must not
+/// jump to the value that other balancers reached step by step.
 #[test]
 fn a_surcharge_grows_by_steps_and_falls_by_steps() {
     let mut pool = pool();
@@ -134,8 +136,8 @@
     assert_eq!(last, NONE);
 }
 
-/// Reports of the full domain stop: what it did seconds ago says nothing of now, and others must not be
-/// judged by it either.
+/// Reports from a full domain stop. Its last utilization is out of date, so it must have no effect
+/// on its own surcharge or on that of others.
 #[test]
 fn a_domain_that_is_cut_off_goes_back_to_the_fixed_weight() {
     let mut pool = pool();
@@ -154,7 +156,7 @@
     assert_eq!((level(&pool, FAR).surcharge, level(&pool, DOMAIN).surcharge), (NONE, NONE));
 }
 
-/// An agent tells of counts that cannot be: its domain must not be starved for it.
+/// An agent reports an implausible load. Its domain must still get flows.
 #[test]
 fn an_absurd_report_counts_for_a_full_server() {
     let mut pool = pool();
@@ -165,12 +167,12 @@
         pool.announced(at(now), host(4), absurd);
     }
 
-    let utilization = level(&pool, FAR).utilization.expect("it is heard of");
+    let utilization = level(&pool, FAR).utilization.expect("the utilization is known");
 
     assert!(utilization <= 4_000, "{utilization}");
 }
 
-/// The own domain is far fuller than an evacuated one: its flows stay all the same.
+/// The own domain is far fuller than an evacuated one, but its flows must not move there.
 #[test]
 fn evacuation_goes_before_balance() {
     let mut pool = pool();
@@ -179,11 +181,11 @@
 
     let agent = chosen(&pool, 3_000, &need(flow(1).key(), Kind::Idempotent, &[]));
 
-    assert!(near_agents().contains(&agent.expect("the own domain is open")));
+    assert!(near_agents().contains(&agent.expect("the own domain accepts flows")));
     assert_eq!(level(&pool, DOMAIN).elsewhere, None);
 }
 
-/// A route may use one region only; its servers are far fuller than those of another region.
+/// A route may use one region only, whose servers are far fuller than those of another region.
 #[test]
 fn regions_go_before_balance() {
     let mut pool = pool();
@@ -194,10 +196,12 @@
 
     let bound = Need { regions: &regions, ..need(flow(1).key(), Kind::Idempotent, &[]) };
 
-    assert!(near_agents().contains(&chosen(&pool, 3_000, &bound).expect("the region is open")));
+    assert!(
+        near_agents().contains(&chosen(&pool, 3_000, &bound).expect("the region accepts flows"))
+    );
 }
 
-/// The servers of an empty domain are cold and have been given what they bear.
+/// The servers of an empty domain are cold and have no room left.
 #[test]
 fn budgets_of_cold_servers_go_before_balance() {
     let mut pool = pool();
@@ -208,11 +212,11 @@
 
     let agent = chosen(&pool, 3_000, &need(flow(1).key(), Kind::Idempotent, &[]));
 
-    assert!(near_agents().contains(&agent.expect("the own domain is open")));
+    assert!(near_agents().contains(&agent.expect("the own domain accepts flows")));
 }
 
-/// An agent restarts beside a server with 80 flows, and knows five of them when it is back. All balancers
-/// would send it their new flows, on top of the 80.
+/// An agent restarts on the host of a server with 80 flows and first reports five of them. Without the
+/// inherited flows, all balancers would send it their new flows in addition to the 80.
 #[test]
 fn a_restarted_agent_counts_with_the_flows_it_inherits() {
     let agent_of = |is_balanced: bool| {
@@ -235,7 +239,8 @@
     assert_eq!(agent_of(true), Some(host(2)));
 }
 
-/// Flows end without another packet after an agent's restart: its server must not wait for ever for new ones.
+/// After an agent's restart, flows end without another packet. The server must get new flows again
+/// within seconds.
 #[test]
 fn what_an_agent_inherits_is_forgotten_within_seconds() {
     let mut pool = pool();
@@ -251,8 +256,8 @@
     assert_eq!(agent, Some(host(1)));
 }
 
-/// A server is replaced by one of another service, or an agent dies without a word and its server with it:
-/// the empty server must get flows at once.
+/// A server is replaced by one of another service, or an agent dies without notice together with
+/// its server. The empty server must get flows at once.
 #[test]
 fn only_an_agent_that_restarts_leaves_flows() {
     for last in [State::Ready, State::Closed] {
@@ -268,8 +273,9 @@
     }
 }
 
-/// An agent is back beside a server that holds flows. Requests come on all of them, fill the server's queue, and the
-/// agent reports nothing in progress, because it knows a flow only after the server's answer.
+/// An agent restarts on the host of a server that holds flows. It knows a flow only after the server's
+/// answer, so it reported no request in progress while requests on these flows filled the server's
+/// queue.
 #[test]
 fn a_restarted_agent_reports_requests_on_flows_that_it_does_not_know() {
     let busy_of = |policy: Policy| {
@@ -291,14 +297,15 @@
     assert_eq!(busy_of(Policy::default().under([Condition::HiddenFaults])), (6, 2));
 }
 
-/// Whatever agents report: the surcharge stays within its bounds, and is gone some seconds after evenness.
+/// For any reports, the surcharge stays within its bounds and ends seconds after domains are even.
 #[test]
 fn surcharges_are_bounded_and_end_whatever_agents_report() {
     for seed in 0..200 {
         let random = |step: u64, most: u64| scatter(seed << 32 | step) % most;
         let mut pool = pool();
         for now in (0..10_000).step_by(100) {
-            let busy = |which| u16::try_from(random(now * 7 + which, 90)).expect("it is small");
+            let busy =
+                |which| u16::try_from(random(now * 7 + which, 90)).expect("a value below 90");
             if random(now, 4) > 0 {
                 hear(&mut pool, load(busy(1), 9), load(busy(2), 9), now, now);
             } else {
@@ -313,8 +320,8 @@
     }
 }
 
-/// Callers of one domain ask 1.9 times as much for 6 s, on flows that were open before too, while the other domains
-/// have room. Their answers come late, because new flows still go to the full servers.
+/// Callers of one domain send 1.9 times as many requests for 6 s, also on open flows, while the
+/// other domains have room. Answers are late if new flows still go to the full servers.
 #[test]
 fn a_burst_in_one_domain_makes_few_answers_late() {
     for domains in [2, 4, 5] {
@@ -324,15 +331,15 @@
         let before = Fleet::open(domains, false).play(20_000, &burst);
         let after = Fleet::open(domains, true).play(20_000, &burst);
 
-        println!("burst in one of {domains}, late: {before:?} to {after:?}");
+        println!("burst in one of {domains} domains: {before:?} without balance, {after:?} with");
         assert!(after.late * 100 < after.asked * 3, "{after:?}");
         assert!(after.late < before.late, "{before:?} to {after:?}");
         assert!(after.swings <= 1, "{after:?}");
     }
 }
 
-/// Half of the callers of one domain go to another within half a second. If balancers answer the same reports by too
-/// much, the new flows of all domains go to and fro between full and empty servers.
+/// Half of the callers of one domain move to another within half a second. If balancers overreact
+/// to the same reports, the new flows of all domains alternate between full and empty servers.
 #[test]
 fn balancers_do_not_swing_when_callers_move() {
     for domains in [2, 4, 5] {
@@ -341,14 +348,14 @@
         let before = Fleet::open(domains, false).play(24_000, &moved);
         let after = Fleet::open(domains, true).play(24_000, &moved);
 
-        println!("moved over {domains}, late: {before:?} to {after:?}");
+        println!("callers moved, {domains} domains: {before:?} without balance, {after:?} with");
         assert!(after.swings <= 1, "{after:?}");
         assert!(after.late * 200 <= before.late * 200 + after.asked, "{before:?} to {after:?}");
     }
 }
 
-/// Twice as many clients of one domain open flows of one request each. These follow what is in progress now, so the
-/// domains are even already, and a surcharge on top must not make them swing.
+/// Twice as many clients of one domain open flows of one request each. Placement by requests in
+/// progress already evens out the domains, and a surcharge on top must not cause oscillation.
 #[test]
 fn short_flows_do_not_swing() {
     for domains in [2, 5] {
@@ -358,14 +365,14 @@
         let before = Fleet::of_short_flows(domains, false).play(20_000, &more);
         let after = Fleet::of_short_flows(domains, true).play(20_000, &more);
 
-        println!("short flows, one of {domains}, late: {before:?} to {after:?}");
+        println!("short flows, {domains} domains: {before:?} without balance, {after:?} with");
         assert!(after.swings <= 1, "{after:?}");
         assert!(after.late * 200 <= before.late * 200 + after.asked, "{before:?} to {after:?}");
     }
 }
 
-/// A whole domain loses power. The others are short of room together; what the lost one reported last must not
-/// count for them.
+/// A whole domain fails. The others are short of room together, and the last reports of the failed
+/// domain must not count for them.
 #[test]
 fn a_lost_domain_neither_counts_nor_is_spared() {
     let mut fleet = Fleet::open(4, true);
@@ -373,13 +380,13 @@
 
     let after = fleet.play(16_000, &Demand::even(4));
 
-    println!("lost, late: {after:?}");
+    println!("failed domain: {after:?}");
     assert!(after.swings <= 1, "{after:?}");
     assert!(fleet.surcharges_of(1).iter().all(|surcharge| *surcharge == NONE));
 }
 
-/// A flow's copies reach several balancers, which hear of each agent at different moments: they must answer a
-/// burst alike.
+/// Copies of a flow's packets reach several balancers, which receive the reports of an agent at
+/// different times. Their surcharges must agree during a burst.
 #[test]
 fn reports_of_different_ages_lead_to_alike_surcharges() {
     let mut fleet = Fleet::open(4, true);
@@ -395,7 +402,8 @@
     );
 }
 
-/// Lets a balancer's domain queue from 3 s to 6 s while another one is idle; returns what it notes of that.
+/// Lets a balancer's domain queue from 3 s to 6 s while another one is idle. Returns when it
+/// reports the domain as spared or no longer spared.
 fn notes(policy: Policy) -> Vec<(u64, bool)> {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, policy), &[]);
     let mut notes = Vec::new();
--- a/crates/nutmegkeel_core/tests/l4/balance/fleet.rs
+++ b/crates/nutmegkeel_core/tests/l4/balance/fleet.rs
@@ -1,5 +1,5 @@
-//! A small fleet in virtual time: domains with five servers of three slots and six balancers each, and long flows
-//! that ask every two seconds.
+//! A small fleet in virtual time: domains with five servers of three slots and six balancers each,
+//! and long flows with a request every two seconds.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -21,26 +21,27 @@
 const GAP_MS: u64 = 2_000;
 const LIFE_MS: u64 = 8_000;
 const OBJECTIVE_MS: u64 = 400;
-/// Openings of a domain's clients in each step, in thousandths: 0.65 of the slots are busy.
+/// Openings of a domain's clients in each step, in thousandths. They keep 0.65 of the slots busy.
 const OPENINGS: u64 = 490;
 
-/// Requests on a long flow, on the mean.
+/// Mean number of requests on a long flow.
 const REQUESTS: u64 = 4;
 /// Address of the first server.
 const FIRST: u32 = 0x0a00_0100;
-/// What happens before this does not count.
+/// Warm-up time that the outcome leaves out.
 const SETTLED_MS: u64 = 2_000;
 
-/// A change of a surcharge that counts for a swing, in thousandths of a slot.
+/// Change of a surcharge that counts as a swing, in thousandths of a slot.
 const SWING: u64 = 400;
 
-/// What clients do, and how it changes for a while.
+/// Load of the clients, and its change during one period.
 pub(super) struct Demand {
     pub(super) from_ms: u64,
     pub(super) until_ms: u64,
-    /// How much more the clients of the first domain ask then on their flows, in thousandths.
+    /// Requests of the first domain's clients on their flows during the period, in thousandths of
+    /// the usual number.
     pub(super) times: u64,
-    /// Openings of each domain's clients then, in thousandths of the usual ones.
+    /// Openings of each domain's clients during the period, in thousandths of the usual number.
     pub(super) openings: Vec<u64>,
 }
 
@@ -62,16 +63,16 @@
     }
 }
 
-/// How a play went.
+/// Outcome of a simulation.
 #[derive(Debug, Default)]
 pub(super) struct Outcome {
     pub(super) asked: u64,
     pub(super) late: u64,
-    /// How often the surcharge of the first domain fell and grew again.
+    /// Number of times that the surcharge of the first domain fell and rose again.
     pub(super) swings: u64,
 }
 
-/// Counts how often a value falls by much and grows by much again.
+/// Counts how often a value falls and then rises again, each time by at least [`SWING`].
 #[derive(Default)]
 struct Swing {
     count: u64,
@@ -111,12 +112,12 @@
     pools: Vec<Pool>,
     flows: Vec<Flow>,
     lost: Option<(usize, u64)>,
-    /// Whether each flow carries one request only, and so many more are opened.
+    /// Whether each flow carries one request only, with correspondingly more flows.
     is_short: bool,
     drawn: u64,
 }
 
-/// A number spread evenly over all.
+/// Returns a pseudo-random number for each number.
 pub(super) fn scatter(number: u64) -> u64 {
     Key::of(&[&number.to_be_bytes()]).number()
 }
@@ -171,11 +172,11 @@
         self.lost.is_some_and(|(lost, at_ms)| lost == domain && now >= at_ms)
     }
 
-    /// Plays until `end_ms`.
+    /// Simulates until `end_ms`.
     pub(super) fn play(&mut self, end_ms: u64, demand: &Demand) -> Outcome {
         let mut outcome = Outcome::default();
         let mut swing = Swing::default();
-        for now in (0..end_ms).step_by(usize::try_from(STEP_MS).expect("it is short")) {
+        for now in (0..end_ms).step_by(usize::try_from(STEP_MS).expect("the step is short")) {
             self.announce(now);
             self.open_flows(now, demand);
             self.ask(now, demand, &mut outcome);
@@ -185,7 +186,7 @@
         outcome
     }
 
-    /// Each pool hears of each server every 300 ms, at another moment than the others.
+    /// Announces each server to each pool every 300 ms, at different times for different pools.
     fn announce(&mut self, now: u64) {
         let usize_of = |millis: u64| usize::try_from(millis / STEP_MS).expect("a short test");
         for pool in 0..self.pools.len() {
@@ -258,7 +259,7 @@
         self.flows = open;
     }
 
-    /// Lets a request wait for the slot that is free first; returns when it is answered, from now on.
+    /// Serves a request on the slot that becomes free first. Returns the time until its answer.
     fn serve(&mut self, now: u64, server: usize) -> u64 {
         let is_long = self.draw(100) < LONG_PERCENT;
         let mean_ms = if is_long { LONG_MS } else { WORK_MS };
@@ -272,7 +273,7 @@
         start + work_ms - now
     }
 
-    /// The surcharge of a domain at each balancer of others.
+    /// Returns the surcharge of a domain at each balancer.
     pub(super) fn surcharges_of(&self, domain: usize) -> Vec<u64> {
         let levels = self.pools.iter().flat_map(Pool::levels);
         let meant = levels.filter(|level| level.domain == name(domain));
--- a/crates/nutmegkeel_core/tests/l4/placement.rs
+++ b/crates/nutmegkeel_core/tests/l4/placement.rs
@@ -127,8 +127,8 @@
     assert_ne!(chosen.map(|choice| choice.agent), Some(host(1)));
 }
 
-/// A host's time of day was set back before its agent started again, so the new process has the smaller
-/// number. Taken for old, its server gets no flow for a minute.
+/// A host's clock was set back before its agent restarted, so the new process has the smaller
+/// incarnation. Treated as stale, its server would get no flow for a minute.
 #[test]
 fn an_agent_that_started_while_its_clock_was_set_back_is_believed_within_a_second() {
     let mut pool = pool(&[(1, load(0, 0))]);
@@ -147,8 +147,8 @@
     assert_eq!(changes, [Change::Stale, Change::Stale, Change::Appeared, Change::None]);
 }
 
-/// Datagrams of a process that has ended were held up, its farewell among them. The process that runs
-/// at its address goes on announcing itself and must stay known.
+/// Datagrams of a process that has ended are delayed, its last announcement among them. The process
+/// now running at its address must stay known.
 #[test]
 fn late_words_of_an_ended_process_change_nothing() {
     let mut pool = Pool::default();
@@ -168,8 +168,8 @@
     assert_eq!(pool.open_agents(at(900), &need(flow(1).key(), Kind::Once, &[])), 1);
 }
 
-/// Feeds stall for a moment whenever the fabric changes its choice: openings also go to the first two agents
-/// of other failure domains, and a search asked the whole own domain before these.
+/// Openings may go to the first two agents of other failure domains. If a search asks the whole own
+/// domain first, flows stall whenever packets move to another balancer.
 #[test]
 fn a_search_asks_those_first_that_the_opening_was_offered_to() {
     let mut pool = Pool::default();
@@ -187,8 +187,8 @@
             let busy: Vec<_> = (0..20).map(host).collect();
             let placed = pool.choose(at(1), &need(key, Kind::Once, &busy));
             let order = pool.search(key, &[desk()], DOMAIN);
-            let agent = placed.expect("another domain is open").agent;
-            order.iter().position(|asked| *asked == agent).expect("all are asked")
+            let agent = placed.expect("another domain accepts flows").agent;
+            order.iter().position(|asked| *asked == agent).expect("all agents are asked")
         })
         .collect();
 
--- a/crates/nutmegkeel_core/tests/l4/room.rs
+++ b/crates/nutmegkeel_core/tests/l4/room.rs
@@ -1,4 +1,4 @@
-//! Room of a service as balancers reckon it: openings go where there is some.
+//! Room of a service as known to balancers: openings go where there is some.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -26,12 +26,12 @@
 /// Slots of each backend server.
 pub(crate) const SLOTS: u16 = 4;
 
-/// Address of a route whose requests are less urgent than those at [`PORT`].
+/// Port of a route whose requests are less urgent than those at [`PORT`].
 pub(crate) const LATER_PORT: u16 = 444;
 
 pub(crate) const IDLE: Load = Load { busy: 0, flows: 0, service_ms: 100 };
 
-/// A server that is full, of which no more is known.
+/// Load of a server without a free slot and with nothing waiting.
 pub(crate) const FULL: Load = Load { busy: SLOTS, flows: SLOTS, service_ms: 100 };
 
 pub(crate) fn all() -> impl Iterator<Item = u8> {
@@ -57,13 +57,13 @@
     }
 }
 
-/// A balancer that has heard such loads from all agents for so long.
+/// Returns a balancer to which all agents have announced these loads until `until_ms`.
 pub(crate) fn balancer_with(policy: Policy, until_ms: u64, loads: impl Fn(u8) -> Load) -> Balancer {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, policy), &[]);
     balancer.handle(at(0), Event::Ordered(Orders::default()));
     let mut table = table(1, &[(PORT, desk()), (LATER_PORT, desk())]);
-    let urgent = Urgency::new(1).expect("an urgency");
-    table.routes.get_mut(&service_address(PORT)).expect("the route").urgency = urgent;
+    let urgent = Urgency::new(1).expect("a valid urgency");
+    table.routes.get_mut(&service_address(PORT)).expect("the route exists").urgency = urgent;
     balancer.handle(at(0), Event::Configured(table));
     for now in (0..=until_ms).step_by(300) {
         announce(&mut balancer, now, &loads);
@@ -71,7 +71,7 @@
     balancer
 }
 
-/// A pool of the own failure domain in which the agents last spoke at `now`.
+/// Returns a pool of the own failure domain to which all agents announced these loads at `now`.
 fn pool(now: u64, loads: impl Fn(u8) -> Load) -> Pool {
     let mut pool = Pool::open(DOMAIN.into());
     for agent in all() {
@@ -80,7 +80,7 @@
     pool
 }
 
-/// The agents that a flow's order begins with, by their numbers.
+/// Returns the numbers of the first agents in a flow's order.
 fn first_five(flow: Flow) -> Vec<u8> {
     let agents = pool(0, |_| IDLE).search_first(flow.key(), &[desk()], DOMAIN);
     agents.into_iter().map(number).collect()
@@ -101,8 +101,8 @@
     })
 }
 
-/// A caller waits, or is refused, though servers are idle: the five that its flow's order begins with are
-/// full, and no other is ever asked.
+/// The first five agents in a flow's order are full and other servers are idle. Without room, only
+/// the five are asked, and the caller waits or is refused.
 #[test]
 fn an_opening_goes_to_a_free_server_beyond_its_first_five() {
     let five = first_five(flow(1));
@@ -117,7 +117,7 @@
     assert!(before.is_some_and(|agent| five.contains(&agent)));
 }
 
-/// While one of the first five is free, a packet at another balancer finds its flow among the first asked.
+/// Packets that reach another balancer find their flow among the first agents asked.
 #[test]
 fn an_opening_stays_among_its_first_five_while_one_is_free() {
     for port in 1..=50 {
@@ -133,7 +133,7 @@
     }
 }
 
-/// All servers but one far away are full; that one has just come free.
+/// All servers are full but one, in the own or the other domain, which has just become free.
 #[test]
 fn when_all_are_full_the_one_that_comes_free_is_taken() {
     for free in [12, 20] {
@@ -148,8 +148,8 @@
     }
 }
 
-/// Weekly sheets cross to another failure domain though the own one works a backlog off at once: an answer
-/// of that size costs more there than the short wait.
+/// Downloads crossed to another failure domain while their own could serve them after a short wait.
+/// Traffic between domains costs more than that wait.
 #[test]
 fn a_download_waits_at_home_rather_than_cross_for_a_free_slot() {
     let pool = pool(3_000, |agent| if domain_of(agent) == FAR { IDLE } else { FULL });
@@ -162,8 +162,8 @@
     assert_eq!((crosses(Kind::Download), crosses(Kind::Once)), (0, 50));
 }
 
-/// A failure domain is cut off, and what its agents last said was that they are idle. Openings that went
-/// by it would pile up where nobody knows what there is.
+/// A failure domain is cut off after its agents reported that they are idle. Openings placed by
+/// these reports would accumulate there.
 #[test]
 fn an_old_report_is_no_room() {
     let mut pool = pool(3_000, |_| IDLE);
@@ -182,7 +182,7 @@
     assert_eq!((far.free, far.doubtful), (0, far.servers));
 }
 
-/// Nobody is refused on what was true once: agents elsewhere may have worked everything off since.
+/// Old reports are no reason to refuse an opening: the agents may have done the work since.
 #[test]
 fn an_old_report_is_no_want_of_room_either() {
     let known =
@@ -196,8 +196,8 @@
     assert_eq!(least_ms(6_000), 0);
 }
 
-/// A server that says zero slots, a time of service beyond all deadlines, or more in progress than it ever
-/// had, gets no flow for it, and is no reason to refuse one.
+/// A server that reports zero slots, a service time beyond all deadlines or an implausible number
+/// of requests must neither attract flows nor cause refusals.
 #[test]
 fn absurd_figures_neither_attract_nor_refuse() {
     let sane =
@@ -216,8 +216,8 @@
     }
 }
 
-/// Twenty-five balancers have the same reports, in which ten of sixty servers have free slots. If each took
-/// the least busy one, the first server would get all openings of 300 ms.
+/// Twenty-five balancers have the same reports, in which ten of sixty servers have free slots. If
+/// each chose the least busy one, that server would get all openings of 300 ms.
 #[test]
 fn balancers_with_the_same_reports_do_not_all_take_the_same_server() {
     let mut pools: Vec<Pool> = (0..25).map(|_| Pool::default()).collect();
@@ -232,7 +232,7 @@
 
     for (port, pool) in (1..).zip(&mut pools) {
         let choice = pool.choose_free(at(100), &need(flow(port).key(), Kind::Once, &[]));
-        let agent = choice.expect("an agent").agent;
+        let agent = choice.expect("an agent accepts the flow").agent;
         pool.placed(agent);
         *given.entry(agent).or_default() += 1;
     }
@@ -241,7 +241,8 @@
     assert!(given.values().all(|count| *count <= 3 + 3), "{given:?}");
 }
 
-/// An operator has evacuated a failure domain, and nobody else has a free slot: the order goes first.
+/// A failure domain is evacuated and no other server has a free slot. The evacuation takes
+/// precedence.
 #[test]
 fn free_slots_of_an_evacuated_failure_domain_are_not_taken() {
     let mut pool = pool(3_000, |agent| if domain_of(agent) == FAR { IDLE } else { FULL });
@@ -254,7 +255,7 @@
     assert_eq!(pool.rooms(at(3_000))[&(desk(), FAR.into())], Room::default());
 }
 
-/// A cold server has slots, but has been given all openings that it bears for now.
+/// A cold server has free slots, but has received all openings that it can accept for now.
 #[test]
 fn slots_of_a_cold_server_without_room_are_not_taken() {
     let mut pool = pool(3_000, |_| FULL);
@@ -273,7 +274,7 @@
     assert_eq!((without_room, chosen(&pool)), (0, 50));
 }
 
-/// A flow that may not leave its region is not sent to another one, however free that is.
+/// A flow restricted to its region is not sent to another one, even if that has free slots.
 #[test]
 fn free_slots_of_a_region_that_is_not_allowed_are_not_taken() {
     let mut pool = pool(3_000, |agent| if domain_of(agent) == FAR { IDLE } else { FULL });
@@ -291,7 +292,8 @@
     }
 }
 
-/// Copies of an opening that must run once follow the first one, though a better server has room by then.
+/// Copies of an opening that must run once go to the same agent, even if a better one has room by
+/// then.
 #[test]
 fn a_copy_of_an_opening_stays_where_the_first_went() {
     let five = first_five(flow(1));
@@ -305,7 +307,7 @@
     assert_eq!(forwarded(&copy), first);
 }
 
-/// Operators see the room by service and failure domain, only where openings go by it.
+/// The status lists the room by service and failure domain, only where openings are placed by it.
 #[test]
 fn status_shows_the_room() {
     let by_room = balancer_with(called_for(), 3_000, |agent| if agent == 1 { IDLE } else { FULL });
--- a/crates/nutmegkeel_core/tests/l4/shortage.rs
+++ b/crates/nutmegkeel_core/tests/l4/shortage.rs
@@ -1,4 +1,4 @@
-//! Openings for which a service has no room in time, and callers that come back after a refusal.
+//! Openings for which a service has no room in time, and retries after a refusal.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -16,10 +16,10 @@
 
 const DEADLINE_MS: u64 = 2_500;
 
-/// A server whose slots come free too late for any deadline.
+/// Load of a server whose slots become free after any deadline.
 pub(crate) const HOPELESS: Load = Load { busy: SLOTS, flows: SLOTS, service_ms: 3_000 };
 
-/// A server with more waiting than it works off in a deadline.
+/// Load of a server with more requests waiting than it can process within a deadline.
 const CROWDED: Load = Load { busy: 400, flows: 400, service_ms: 100 };
 
 fn later(port: u16) -> Flow {
@@ -48,7 +48,7 @@
     })
 }
 
-/// Lets every agent that an opening is offered to decline it, each with this load, until it is refused.
+/// Lets every agent that an opening is offered to decline it, until it is refused.
 fn until_refused(balancer: &mut Balancer, now: u64, flow: Flow, reason: Reason) -> Vec<Action> {
     let mut actions = open(balancer, now, flow);
     while let Some(agent) = forwarded(&actions) {
@@ -57,9 +57,9 @@
     actions
 }
 
-/// A crowd comes for two seconds, and no server could answer it in time by what is known at the moment.
-/// Servers work it off; who is refused comes back and uses up its tries. So the first two seconds refuse
-/// nobody, and one slot seen free begins them anew.
+/// During an overload of two seconds, no server can answer in time by the last reports. Servers
+/// work it off, and refused callers would only retry until their attempts are used up. A free slot
+/// restarts the two seconds.
 #[test]
 fn a_crowd_of_two_seconds_turns_nobody_away() {
     let mut balancer = balancer_with(called_for(), 3_000, |_| HOPELESS);
@@ -83,9 +83,9 @@
     assert!(!resets(&open(&mut balancer, 5_300, from_other_client(2))));
 }
 
-/// In a crowd every opening is handed back twice before it may wait, and the messages slow everybody down.
-/// Once each report has been renewed and no slot was free, an opening waits at the first agent; one that
-/// comes free is asked for its slot again.
+/// Under overload every opening is declined twice before it may wait, which triples the messages.
+/// Once all reports have been renewed without a free slot, an opening waits at its first agent. An
+/// agent that becomes free is asked for a free slot again.
 #[test]
 fn in_a_crowd_no_free_slot_is_looked_for() {
     let mut balancer = balancer_with(called_for(), 3_000, |_| CROWDED);
@@ -104,8 +104,8 @@
     assert_eq!(offered(&free).map(|offer| offer.insistence), idle);
 }
 
-/// What waits grows for seconds. The less urgent requests stand behind all of it and can't be answered in
-/// time; the more urgent go before it, and are not refused.
+/// The backlog grows for seconds. Less urgent requests are behind all of it and cannot be answered
+/// in time; more urgent ones are served first and must not be refused.
 #[test]
 fn a_lasting_overload_refuses_the_least_urgent_first() {
     let mut balancer = balancer_with(called_for(), 3_000, |_| CROWDED);
@@ -122,12 +122,12 @@
     assert!(refused[1] >= 14, "{refused:?}");
 }
 
-/// An opening has been handed back for more than a second; a server has come free, and its client still
-/// waits for the answer.
+/// An opening has been declined for more than a second. A server has become free, and the client
+/// still waits for the answer.
 #[test]
 fn an_opening_past_its_usual_time_still_goes_to_a_free_server() {
     let mut balancer = balancer_with(called_for(), 3_000, |_| FULL);
-    let first = forwarded(&open(&mut balancer, 3_000, flow(1))).expect("an agent");
+    let first = forwarded(&open(&mut balancer, 3_000, flow(1))).expect("an agent accepts the flow");
     let free = if first == host(12) { 11 } else { 12 };
     for now in [3_300, 3_600, 3_900, 4_200] {
         announce(&mut balancer, now, |agent| if agent == free { IDLE } else { FULL });
@@ -138,7 +138,6 @@
     assert_eq!(forwarded(&next), Some(host(free)));
 }
 
-/// The figures that a refusal rested on are in its line.
 #[test]
 fn a_refusal_says_what_it_rested_on() {
     let mut balancer = balancer_with(called_for(), 3_000, |_| HOPELESS);
@@ -154,13 +153,13 @@
         Action::Note(Note::Refused { shortage, .. }) => *shortage,
         _ => None,
     });
-    let shortage = shortage.expect("a refusal for want of room");
+    let shortage = shortage.expect("a refusal for lack of room");
     assert_eq!((shortage.servers, shortage.left_ms), (20, DEADLINE_MS));
     assert_eq!((shortage.least_ms, shortage.lasted_ms), (3_000, 2_400));
 }
 
-/// A caller is refused, comes back at once and is refused again by the same balancer, until its tries are
-/// used up, while others that came for the first time are served.
+/// A refused caller retries at once. Without an exemption the same balancer refuses it until its
+/// attempts are used up, while new callers are served.
 #[test]
 fn a_caller_that_comes_back_is_not_refused_again() {
     let mut balancer = balancer_with(called_for(), 3_000, |_| HOPELESS);
@@ -179,7 +178,8 @@
     assert_eq!(refused_for(&third), Some(Cause::NoRoom));
 }
 
-/// A refusal by all agents is one for want of room too; it counts for one flow, of its caller and route.
+/// A refusal after all agents declined also counts as one for lack of room. It exempts one flow of
+/// the same caller and route.
 #[test]
 fn a_refusal_is_good_for_one_return_of_its_caller() {
     let mut balancer = balancer_with(called_for(), 3_000, |_| FULL);
@@ -208,7 +208,8 @@
     assert!(offered(&next).is_some_and(|offer| !offer.returns));
 }
 
-/// Callers from a hundred thousand addresses are refused within a second; the balancer has little memory.
+/// Callers from 100,000 addresses are refused within a second, and the balancer's memory is
+/// limited.
 #[test]
 fn memory_of_refused_callers_is_bounded() {
     let mut returns = Returns::default();
--- a/crates/nutmegkeel_core/tests/l4/shortage_random.rs
+++ b/crates/nutmegkeel_core/tests/l4/shortage_random.rs
@@ -1,4 +1,4 @@
-//! Random fleets in which openings are refused: never while a server is known to have room.
+//! Random fleets under overload: no opening is refused while a server is known to have room.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -15,19 +15,19 @@
 use crate::room::{LATER_PORT, SLOTS, all, balancer_with, called_for, number, offered, open, said};
 use crate::shortage::{HOPELESS, declines, refused_for};
 
-/// What one agent of a random fleet last said, when, and how it answers an opening.
+/// Last report of a random agent, its time, and the agent's answer to an opening.
 #[derive(Clone, Copy, Debug)]
 struct Drawn {
     load: Load,
     slots: u16,
     heard: u64,
     declines: Reason,
-    /// Whether it has said since that it is cold and has been given what it bears.
+    /// Whether it has declined an opening as cold since the report.
     is_cold: bool,
 }
 
 impl Drawn {
-    /// In two fleets of three nearly all servers are full, and so slow that openings may be refused.
+    /// In two fleets of three, nearly all servers are full and slow enough for refusals.
     fn draw(random: &mut StdRng, now: u64, fleet: u64) -> Self {
         let is_full = !fleet.is_multiple_of(3) && random.random_range(0..60) > 0;
         let busy = if is_full { 40 } else { random.random_range(0..8) };
@@ -50,8 +50,9 @@
     }
 }
 
-/// An opening is refused while a server that it may use, and that has not declined it, is known to have a
-/// free slot: whatever the reports and their ages are, in which order agents decline, and how long it takes.
+/// No opening is refused while a server that it may use, and that has not declined it, is known to
+/// have a free slot. This holds for any reports, ages of reports and order and duration of
+/// declines.
 #[test]
 fn nothing_is_refused_while_a_fresh_report_shows_a_free_slot() {
     let mut refused: BTreeMap<&str, usize> = BTreeMap::new();
@@ -63,7 +64,7 @@
     assert!(refused["no_room"] > 20 && refused["all_declined"] > 20, "{refused:?}");
 }
 
-/// Plays a random fleet for four seconds, and checks that each refusal is right.
+/// Simulates a random fleet for four seconds and checks each refusal.
 fn refusals_of_fleet(fleet: u64) -> Vec<Cause> {
     let mut random = StdRng::seed_from_u64(fleet);
     let mut balancer = balancer_with(called_for(), 3_000, |_| HOPELESS);
@@ -88,7 +89,7 @@
     refusals
 }
 
-/// Opens a flow that every agent declines after a pause, and checks what it is refused for.
+/// Opens a flow that every agent declines after a pause, and checks the reason of its refusal.
 fn open_and_decline(
     balancer: &mut Balancer,
     began: u64,
@@ -103,7 +104,7 @@
         let only_if_idle = offered(&actions)?.insistence == Insistence::IfIdle;
         let drawn = known.get_mut(&number(agent))?;
         drawn.heard = now;
-        // Who may let the opening wait does not decline it as busy.
+        // An agent that may let the opening wait does not decline it as busy.
         let reason = match drawn.declines {
             Reason::Busy if !only_if_idle => Reason::Late,
             reason => reason,
--- a/crates/nutmegkeel_core/tests/l4/uneven.rs
+++ b/crates/nutmegkeel_core/tests/l4/uneven.rs
@@ -10,7 +10,7 @@
 use crate::fixture::{BALANCER, at, flow, host, identity, load, need, word};
 use crate::uneven_fleet::{Fleet, Random, SERVERS};
 
-/// Servers of one service: their numbers, beginning with one, and their times.
+/// Announces servers of one service, numbered from one, with these service times.
 fn announce(pool: &mut Pool, now: u64, times: &[u16]) {
     for (number, service_ms) in (1..).zip(times) {
         let load = Load { service_ms: *service_ms, ..load(1, 10) };
@@ -33,9 +33,9 @@
     (0..SERVERS).step_by(step).for_each(|server| fleet.set_percent(server, percent));
 }
 
-/// One server in five becomes 7.5 times slower at second 8 and says that it is well. Its clients wait, and new
-/// flows went on coming to it, because it has no more of them than its peers. Compared with its peers, it gets
-/// what it can do, and requests of new flows are late hardly more often than among even servers.
+/// One server in five becomes 7.5 times slower at second 8 and reports that it is healthy.
+/// Placement by number of flows still sends it new ones, and their requests are late. With the
+/// comparison, these are late hardly more often than among even servers.
 #[test]
 fn new_flows_go_to_servers_that_are_not_slow() {
     let late = |compares, percent| {
@@ -48,13 +48,15 @@
 
     let (even, before, after) = (late(true, 100), late(false, 750), late(true, 750));
 
-    println!("late of 1000 requests of new flows: {even} even, {before} before, {after} after");
+    println!(
+        "late per 1000 requests of new flows: {even} with even servers, {before} without comparison, {after} with"
+    );
     assert!(before > even + 30);
     assert!(after <= even + 10);
 }
 
-/// The slow servers of the day above recover at second 16. They have next to no flows by then, and what they
-/// still get must show it soon, or a fifth of the servers would idle for long.
+/// Slow servers recover at second 16, when they have almost no flows left. The few requests that
+/// they still get must show it soon; otherwise a fifth of the servers stays idle.
 #[test]
 fn a_server_that_recovers_counts_in_full_within_seconds() {
     let mut fleet = Fleet::open(1, 25, true);
@@ -62,7 +64,10 @@
     slowed_down(&mut fleet, 5, 750);
     fleet.run(16_000);
     let before = fleet.slow();
-    assert!(fleet.verdicts.iter().all(|(_, verdict)| verdict.is_slow), "none is cleared before");
+    assert!(
+        fleet.verdicts.iter().all(|(_, verdict)| verdict.is_slow),
+        "no server recovers before second 16"
+    );
     slowed_down(&mut fleet, 5, 100);
 
     fleet.run(18_000);
@@ -77,8 +82,8 @@
     assert_eq!(fleet.slow(), 0);
 }
 
-/// Two classes of work on one service, and a few requests in a hundred take seven times as long. A healthy
-/// server that takes a run of those for slowness would lose its flows for nothing.
+/// One service has two classes of requests, and a few percent of them take seven times as long. A
+/// healthy server must not count as slow because of a random run of these.
 #[test]
 fn a_mix_of_work_makes_no_healthy_server_slow() {
     let mut fleet = Fleet::open(3, 1, true);
@@ -86,12 +91,12 @@
     fleet.run(500_000);
 
     let slow: Vec<_> = fleet.verdicts.iter().filter(|(_, verdict)| verdict.is_slow).collect();
-    println!("10,000 judgements of {SERVERS} servers: {} false ones", slow.len());
+    println!("10,000 comparisons of {SERVERS} servers: {} false verdicts", slow.len());
     assert!(slow.is_empty(), "{slow:?}");
 }
 
-/// The times of a slow server spread widely: some of its answers come as fast as a usual server's. Cleared by a few
-/// of those, it would draw flows again while it is slow.
+/// The service times of a slow server vary widely, and some are as short as a usual server's. If a
+/// few of these cleared it, it would attract flows while it is slow.
 #[test]
 fn a_few_fast_answers_clear_no_slow_server() {
     let mut fleet = Fleet::open(1, 4, true);
@@ -131,7 +136,8 @@
     assert!(slow(&judged(0, &[60, 600])).is_empty());
 }
 
-/// Twice the usual time is still in time, and a few times very little is nothing to a client.
+/// Twice the usual service time is still in time, and a multiple of a few milliseconds is
+/// insignificant.
 #[test]
 fn a_server_is_not_slow_for_little() {
     assert!(slow(&judged(0, &[60, 60, 60, 140])).is_empty());
@@ -139,7 +145,8 @@
     assert_eq!(slow(&judged(0, &[60, 60, 60, 150])), [4]);
 }
 
-/// A time that wavers about the bound would move the new flows of all balancers to and fro.
+/// A service time that varies about the bound would move the new flows of all balancers back and
+/// forth.
 #[test]
 fn a_slow_server_stays_slow_until_it_is_near_its_peers() {
     let mut pool = judged(0, &[60, 60, 60, 160]);
@@ -155,7 +162,7 @@
     assert!(slow(&pool).is_empty());
 }
 
-/// Of four servers one may count as slow, and two are, by turns the slower one.
+/// One of four servers may count as slow. Two are, and each is at times the slower one.
 #[test]
 fn two_slow_ones_do_not_take_turns() {
     let mut pool = judged(0, &[60, 60, 300, 310]);
@@ -169,8 +176,8 @@
     assert_eq!(slow(&pool), [4]);
 }
 
-/// Reports are lost for two seconds. A server that was slow may still be, and one that was not is not judged by
-/// what it told before.
+/// Reports are lost for two seconds. A server that was slow may still be slow, and one that was not
+/// is not judged by an old report.
 #[test]
 fn a_stale_report_neither_makes_nor_clears_a_slow_server() {
     let mut pool = judged(0, &[60, 60, 60, 60, 300, 60]);
@@ -185,7 +192,7 @@
     assert_eq!(slow(&pool), [5]);
 }
 
-/// A report of no time, or of hours, must neither draw flows nor starve anybody.
+/// A report of no service time, or of hours, must neither attract flows nor keep them from others.
 #[test]
 fn an_absurd_report_changes_nothing() {
     let pool = judged(0, &[60, 60, 60, 0, u16::MAX]);
@@ -193,7 +200,7 @@
     assert!(slow(&pool).is_empty());
 }
 
-/// A slow server with no slots is a false report, too: it must go on getting something.
+/// A slow server that reports no slots must still get some requests.
 #[test]
 fn a_report_without_slots_starves_nobody() {
     let mut pool = Pool::default();
@@ -215,7 +222,8 @@
     assert!(chosen.contains(&host(4)));
 }
 
-/// The process beside a slow server starts again and knows nothing yet: perhaps another server runs there.
+/// The agent of a slow server restarts and reports no service time yet. Its server may be another
+/// one.
 #[test]
 fn a_new_agent_is_not_judged_by_what_the_old_one_told() {
     let mut pool = judged(0, &[60, 60, 60, 300]);
@@ -227,7 +235,8 @@
     assert!(slow(&pool).is_empty());
 }
 
-/// A server that starts is slow for some seconds. It says so, and is given what it bears.
+/// A server is slow for some seconds after its start. It reports that it is cold and its room is
+/// limited.
 #[test]
 fn a_cold_server_is_not_slow() {
     let mut pool = Pool::default();
@@ -259,8 +268,8 @@
     assert_eq!(chosen_with(4), 0);
 }
 
-/// A crowd fills the usual servers. The slots of a slow one, which it has free because it is to have little, passed
-/// for room, and the openings of all balancers that found no other went there to be late.
+/// The usual servers are full under overload. The free slots of a slow server, which has few flows
+/// on purpose, counted as room, and the openings of all balancers went there and were late.
 #[test]
 fn a_crowd_does_not_fill_the_slots_of_a_slow_server() {
     let chosen_with = |busy| {
@@ -276,12 +285,12 @@
         pool.choose_free(at(1), &need).map(|choice| choice.agent)
     };
 
-    assert_eq!(chosen_with(0), Some(host(4)), "one request shows whether it has recovered");
+    assert_eq!(chosen_with(0), Some(host(4)), "one request must show whether it has recovered");
     assert_ne!(chosen_with(1), Some(host(4)));
 }
 
-/// A server that has just come has no flows. All balancers choose by flows, and each learns only with the next
-/// report what the others sent: the first requests of all these flows met in its queue.
+/// A new server has no flows. All balancers place by the number of flows and learn of the others'
+/// flows only with the next report, so the first requests of all these flows queued there.
 #[test]
 fn an_empty_server_fills_up_without_a_queue() {
     let longest = |compares| {
@@ -303,7 +312,7 @@
 
     let (before, after) = (longest(false), longest(true));
 
-    println!("longest queue of ten times an empty server: {before} before, {after} after");
+    println!("longest queue of a new server, times ten: {before} without comparison, {after} with");
     assert!(after * 5 < before * 4);
 }
 
@@ -350,7 +359,8 @@
     assert_eq!(evenness.collect::<Vec<_>>(), [(250, 250)]);
 }
 
-/// Where nobody says that servers may become slow in silence, or the mechanism is switched off, nobody is judged.
+/// Without the condition of hidden faults, or with the mechanism disabled, no server counts as
+/// slow.
 #[test]
 fn without_the_mechanism_nobody_is_judged() {
     let off = Policy::without([Mechanism::UnevenServers]).under([Condition::HiddenFaults]);
--- a/crates/nutmegkeel_core/tests/l4/uneven_fleet.rs
+++ b/crates/nutmegkeel_core/tests/l4/uneven_fleet.rs
@@ -1,4 +1,4 @@
-//! Backend servers of one service, the meters beside them and the balancers' views of them, in virtual time.
+//! Backend servers of one service, their speed meters and the balancers' pools, in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,13 +14,13 @@
 const OBJECTIVE_MS: u64 = 400;
 const REQUESTS: u8 = 3;
 pub(crate) const SERVERS: u8 = 52;
-/// Half of what the servers can do.
+/// Half of the servers' capacity.
 const FLOWS_PER_S: u64 = 420;
 const DOMAINS: [&str; 4] = ["osu", "tema", "ho", "wa"];
 const REPORT_MS: u64 = 300;
 const REVIEW_MS: u64 = 50;
 
-/// Numbers that a seed determines.
+/// Pseudo-random numbers from a seed.
 pub(crate) struct Random(pub(crate) u64);
 
 impl Random {
@@ -35,14 +35,16 @@
         self.next() % most
     }
 
-    /// Work of two classes, 47 and 61 ms on the mean, of which three in a hundred take seven times as long.
+    /// Draws the work of a request of one of two classes, with means of 47 and 61 ms. Three percent
+    /// of the requests take seven times as long.
     pub(crate) fn work_ms(&mut self) -> u64 {
         let class_ms = if self.below(9) < 7 { 47 } else { 61 };
         let tail = if self.below(100) < 3 { 7 } else { 1 };
         class_ms * tail * (70 + self.below(61)) / 100
     }
 
-    /// Work that spreads as widely as that of servers usually does at most: 59 ms on the mean, exponential.
+    /// Draws the work of a request from an exponential distribution with a mean of 59 ms, the
+    /// widest that servers usually have.
     pub(crate) fn broad_work_ms(&mut self) -> u64 {
         let point = (self.below(1_000_000) + 1) as f64 / 1_000_000.0;
         (-59.0 * point.ln()).round() as u64 + 1
@@ -51,7 +53,7 @@
 
 struct Server {
     free_at: [u64; SLOTS],
-    /// Part of the usual time that it takes, in percent.
+    /// Service time in percent of the usual one.
     percent: u64,
     at_server: u16,
     flows: u16,
@@ -69,7 +71,7 @@
     Review,
 }
 
-/// Requests of flows that were opened within some time.
+/// Requests of the flows that were opened within one second.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Tally {
     pub(crate) asked: u64,
@@ -84,7 +86,7 @@
     events: BTreeMap<(u64, u64), Event>,
     servers: Vec<Server>,
     pools: Vec<Pool>,
-    /// Work of the next request.
+    /// Draws the work of the next request.
     pub(crate) work_ms: fn(&mut Random) -> u64,
     /// Requests by the second in which their flow was opened.
     pub(crate) tallies: BTreeMap<u64, Tally>,
@@ -92,7 +94,7 @@
 }
 
 impl Fleet {
-    /// A fleet whose balancers compare the speeds of servers, or do not.
+    /// Creates a fleet whose balancers may compare the speeds of servers.
     pub(crate) fn open(seed: u64, balancers: usize, compares: bool) -> Self {
         let server = |_| Server {
             free_at: [0; SLOTS],
@@ -136,7 +138,7 @@
         self.servers[usize::from(server)].at_server
     }
 
-    /// Another server starts at this place, which knows of no flow.
+    /// Replaces a server by a new one without flows.
     pub(crate) fn replace(&mut self, server: u8) {
         let place = &mut self.servers[usize::from(server)];
         (place.flows, place.at_server) = (0, 0);
@@ -154,12 +156,12 @@
         self.now = until;
     }
 
-    /// Servers that a balancer takes for slow now, at most.
+    /// Returns the largest number of servers that count as slow at any balancer.
     pub(crate) fn slow(&self) -> usize {
         self.pools.iter().map(|pool| pool.slow().len()).max().unwrap_or_default()
     }
 
-    /// Late requests of flows that were opened in these seconds, in thousandths.
+    /// Returns the late requests of flows that were opened in these seconds, in thousandths.
     pub(crate) fn late_per_mille(&self, seconds: std::ops::Range<u64>) -> u64 {
         let tallies = self.tallies.range(seconds).map(|(_, tally)| tally);
         let (asked, late) = tallies.fold((0, 0), |sum, one| (sum.0 + one.asked, sum.1 + one.late));
@@ -231,7 +233,7 @@
             tried: &[],
         };
         let pool = &mut self.pools[balancer];
-        let choice = pool.choose(at(self.now), &need).expect("servers take flows");
+        let choice = pool.choose(at(self.now), &need).expect("servers accept flows");
         pool.placed(choice.agent);
         let server = choice.agent.octets()[3];
         self.servers[usize::from(server)].flows += 1;
