--- a/crates/nutmegkeel_core/src/l4/balancer.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer.rs
@@ -214,7 +214,7 @@
     fn notice_standstill(&mut self, now: Time) {
         let gap = now.since(self.last);
         if gap > STANDSTILL_MS {
-            self.pool.forgive(gap);
+            self.pool.extend_timeouts(gap);
             self.lose_certainty();
         }
         self.last = now;
@@ -276,10 +276,10 @@
         reason: Reason,
         load: Load,
     ) -> Vec<Action> {
-        self.pool.heard(now, from, load);
+        self.pool.load_received(now, from, load);
         match reason {
             Reason::Leaving => self.pool.closed(from),
-            Reason::Cold => self.pool.filled(from),
+            Reason::Cold => self.pool.room_exhausted(from),
             _ => {}
         }
         if self.has_no_route(&head.flow) {
--- a/crates/nutmegkeel_core/src/l4/balancer/certainty.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/certainty.rs
@@ -74,13 +74,13 @@
     /// Whether no other balancer hears of more agents. Guards against resetting the flows of an agent
     /// that has not yet learnt of this balancer: the others know it.
     fn has_heard_of_all(&self, now: Time) -> bool {
-        let own = self.pool.heard_of(now);
+        let own = self.pool.recently_seen_count(now);
         self.words.fresh(now).map(|(_, word)| word.agents).max().is_none_or(|most| own >= most)
     }
 
     /// Whether agents are still appearing.
     pub(super) fn is_growing(&self, now: Time) -> bool {
-        let span = if self.pool.is_young() { SETTLE_YOUNG_MS } else { SETTLE_MS };
+        let span = if self.pool.is_recently_started() { SETTLE_YOUNG_MS } else { SETTLE_MS };
         now.since(self.growth.last) <= span
     }
 
--- a/crates/nutmegkeel_core/src/l4/balancer/introductions.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/introductions.rs
@@ -10,7 +10,7 @@
 use crate::clock::Time;
 use crate::l4::health::ANNOUNCE_MS;
 use crate::l4::message::{Message, Roster};
-use crate::l4::placement::Telling;
+use crate::l4::placement::Notification;
 use crate::l4::roster::{TELL_MS, TELL_NEAR_MS, Told};
 use crate::placement::mix;
 
@@ -117,20 +117,21 @@
         let orders = self.ledger.revision();
         let digest = self.outlook(now).digest;
         let told = Told { at: now, digest, orders };
-        let telling = self.pool.telling(agent, told, pause_ms);
-        let hearers = if telling == Telling::Addresses { self.hearers(now, is_near) } else { 0 };
+        let telling = self.pool.notification(agent, told, pause_ms);
+        let hearers =
+            if telling == Notification::Addresses { self.hearers(now, is_near) } else { 0 };
         let messages = match telling {
-            Telling::Nothing => return Vec::new(),
-            Telling::Addresses if self.is_turn(now, agent, hearers) => {
-                self.pool.note_told(agent, told);
+            Notification::Nothing => return Vec::new(),
+            Notification::Addresses if self.is_turn(now, agent, hearers) => {
+                self.pool.record_sent(agent, told);
                 self.own_list(now)
             }
-            Telling::Sign => {
-                self.pool.note_told(agent, told);
+            Notification::Heartbeat => {
+                self.pool.record_sent(agent, told);
                 vec![self.sign(now)]
             }
-            Telling::Addresses => {
-                self.pool.note_told(agent, Told { digest: NO_LIST, ..told });
+            Notification::Addresses => {
+                self.pool.record_sent(agent, Told { digest: NO_LIST, ..told });
                 vec![self.sign(now)]
             }
         };
--- a/crates/nutmegkeel_core/src/l4/balancer/outlook.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/outlook.rs
@@ -44,6 +44,6 @@
     fn look(&self, now: Time) -> Outlook {
         let balancers = self.known(now);
         let digest = roster::digest(balancers.iter().copied());
-        Outlook { at: now, balancers, digest, agents: self.pool.heard_of(now) }
+        Outlook { at: now, balancers, digest, agents: self.pool.recently_seen_count(now) }
     }
 }
--- a/crates/nutmegkeel_core/src/l4/balancer/queries.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/queries.rs
@@ -67,7 +67,7 @@
     /// Openings that lately went to other failure domains, in thousandths of all.
     #[must_use]
     pub fn sent_abroad(&self) -> Option<u64> {
-        self.pool.sent_abroad()
+        self.pool.sent_remote()
     }
 
     /// What operators are told.
--- a/crates/nutmegkeel_core/src/l4/balancer/review.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/review.rs
@@ -42,7 +42,7 @@
     /// Notes which failure domains begin or cease to be spared.
     fn rebalance(&mut self, now: Time) -> Vec<Action> {
         let levels = self.pool.rebalance(now);
-        let abroad = self.pool.sent_abroad();
+        let abroad = self.pool.sent_remote();
         let note = |level| Action::Note(Note::Spared { level, abroad });
         levels.into_iter().map(note).collect()
     }
--- a/crates/nutmegkeel_core/src/l4/balancer/search.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/search.rs
@@ -85,7 +85,7 @@
         flow: Flow,
         load: Load,
     ) -> Vec<Action> {
-        self.pool.heard(now, from, load);
+        self.pool.load_received(now, from, load);
         let entry = self.cache.entry(now, flow);
         entry.unanswered.retain(|agent| *agent != from);
         let was_question = entry.questions.remove(&from);
@@ -241,7 +241,7 @@
         flow: Flow,
         load: Load,
     ) -> Vec<Action> {
-        self.pool.heard(now, from, load);
+        self.pool.load_received(now, from, load);
         let entry = self.cache.entry(now, flow);
         let news = entry.place != Some(Place::Held(from));
         let asked = entry.declined.len();
--- a/crates/nutmegkeel_core/src/l4/balancer/shortage.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/shortage.rs
@@ -9,15 +9,15 @@
 use crate::l4::note::{Cause, Note};
 use crate::l4::placement::{Choice, Need};
 use crate::l4::policy::Mechanism;
-use crate::l4::room::{CROWD_MS, Crowds, Rank, Returns, Shortage};
+use crate::l4::room::{CONGESTION_TOLERANCE_MS, Congestion, Rank, Retries, Shortage};
 use crate::l4::route::{Route, Service, Table, Urgency};
 use crate::l4::status;
 
 /// What a balancer knows of want of room besides the agents' reports.
 #[derive(Debug, Default)]
 pub(super) struct Memory {
-    crowds: Crowds,
-    returns: Returns,
+    crowds: Congestion,
+    returns: Retries,
     /// Degrees of urgency among the routes of each service.
     degrees: BTreeMap<Service, BTreeSet<Urgency>>,
 }
@@ -69,7 +69,7 @@
     /// Guards against a crowd in which every opening is handed back twice before it may wait: three times
     /// the messages, when hosts are busiest.
     pub(super) fn asks_in_vain(&self, now: Time, flow: &Flow, service: Service) -> bool {
-        self.memory.crowds.is_certain(now, (flow.service, service))
+        self.memory.crowds.is_confirmed(now, (flow.service, service))
     }
 
     /// Whether a first opening comes of a client that was refused; asked once for each flow.
@@ -104,13 +104,13 @@
         }
         let place = (head.flow.service, need.service);
         if self.pool.is_free(now, choice.agent) {
-            self.memory.crowds.note_free(place);
+            self.memory.crowds.record_free(place);
             return None;
         }
-        let lasted_ms = self.memory.crowds.note_full(now, place);
+        let lasted_ms = self.memory.crowds.record_full(now, place);
         let entry = self.cache.entry(now, head.flow);
         let waited_ms = now.since(entry.began);
-        if lasted_ms <= CROWD_MS || entry.returns == Some(true) {
+        if lasted_ms <= CONGESTION_TOLERANCE_MS || entry.returns == Some(true) {
             return None;
         }
         let rank = if self.identity.policy.uses(Mechanism::Urgency) {
@@ -118,7 +118,7 @@
         } else {
             Rank::FIRST
         };
-        let soonest = self.pool.soonest(now, need, rank);
+        let soonest = self.pool.earliest_answer(now, need, rank);
         let left_ms = route.deadline_ms.saturating_sub(waited_ms);
         // An agent that this balancer has not heard of yet may have room.
         let is_ruled_out = soonest.servers > 0 && soonest.least_ms > left_ms;
--- a/crates/nutmegkeel_core/src/l4/balancer/wide_search.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/wide_search.rs
@@ -84,7 +84,7 @@
         flow: Flow,
         load: Load,
     ) -> Vec<Action> {
-        self.pool.heard(now, from, load);
+        self.pool.load_received(now, from, load);
         let entry = self.cache.entry(now, flow);
         if !entry.questions.remove(&from) {
             return Vec::new();
--- a/crates/nutmegkeel_core/src/l4/placement.rs
+++ b/crates/nutmegkeel_core/src/l4/placement.rs
@@ -77,11 +77,11 @@
 
 /// What to send to an agent about the balancers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Telling {
+pub enum Notification {
     /// Nothing: the agent has received the same information recently.
     Nothing,
     /// A heartbeat of this balancer.
-    Sign,
+    Heartbeat,
     /// The addresses of all balancers.
     Addresses,
 }
@@ -223,7 +223,7 @@
 
     /// Records that an agent declined an opening because its backend server is cold. Until it
     /// reports room, it gets openings only if no other agent has room.
-    pub fn filled(&mut self, agent: Ipv4Addr) {
+    pub fn room_exhausted(&mut self, agent: Ipv4Addr) {
         if let Some(candidate) = self.agents.get_mut(&agent) {
             candidate.announcement.room = Some(0);
         }
@@ -296,19 +296,19 @@
     /// heartbeat. After the death of a balancer, views differ for seconds; a list in reply to every
     /// announcement would then cost one list per pair of processes every 300 ms.
     #[must_use]
-    pub fn telling(&self, agent: Ipv4Addr, next: Told, pause_ms: u64) -> Telling {
+    pub fn notification(&self, agent: Ipv4Addr, next: Told, pause_ms: u64) -> Notification {
         let Some(candidate) = self.agents.get(&agent) else {
-            return Telling::Addresses;
+            return Notification::Addresses;
         };
         match candidate.told {
-            Some(told) if told.covers(&next, pause_ms) => Telling::Nothing,
-            _ if candidate.announcement.balancers == next.digest => Telling::Sign,
-            _ => Telling::Addresses,
+            Some(told) if told.covers(&next, pause_ms) => Notification::Nothing,
+            _ if candidate.announcement.balancers == next.digest => Notification::Heartbeat,
+            _ => Notification::Addresses,
         }
     }
 
     /// Records what was sent to an agent.
-    pub fn note_told(&mut self, agent: Ipv4Addr, told: Told) {
+    pub fn record_sent(&mut self, agent: Ipv4Addr, told: Told) {
         if let Some(candidate) = self.agents.get_mut(&agent) {
             candidate.told = Some(told);
         }
--- a/crates/nutmegkeel_core/src/l4/placement/balance.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/balance.rs
@@ -258,7 +258,7 @@
     /// Returns the share of recent openings that went to other failure domains, in thousandths;
     /// `None` if there was no recent opening.
     #[must_use]
-    pub fn sent_abroad(&self) -> Option<u64> {
+    pub fn sent_remote(&self) -> Option<u64> {
         let Openings { near, far } = self.balance.as_ref()?.openings;
         (near + far > 0).then(|| far * 1_000 / (near + far))
     }
--- a/crates/nutmegkeel_core/src/l4/placement/candidate.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/candidate.rs
@@ -7,7 +7,7 @@
 use crate::clock::Time;
 use crate::l4::health::{Health, LATE_MS};
 use crate::l4::message::{Announcement, Load, Report, State};
-use crate::l4::room::Known;
+use crate::l4::room::Occupancy;
 use crate::l4::roster::Told;
 use crate::l4::route::{Kind, Service};
 
@@ -195,11 +195,11 @@
     ///
     /// The free slots of a slow server are bounded according to its speed. It has few flows and
     /// thus many free slots on purpose; under overload, openings would otherwise fill them.
-    pub(super) fn known(&self, now: Time) -> Known {
+    pub(super) fn known(&self, now: Time) -> Occupancy {
         let slots = self.announcement.slots;
         let while_cold = u64::from(slots) * COLD_PERCENT / 100;
         let while_cold = u16::try_from(while_cold).unwrap_or(slots).max(1);
-        Known {
+        Occupancy {
             slots: if self.announcement.cold { slots.min(while_cold) } else { slots },
             busy: self.load.busy,
             placed: self.placed_since,
--- a/crates/nutmegkeel_core/src/l4/placement/free.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/free.rs
@@ -14,7 +14,7 @@
 
 /// Estimate of the earliest answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Soonest {
+pub struct EarliestAnswer {
     /// Number of backend servers that may accept the request and have not declined it.
     pub servers: usize,
     /// Minimum time until the answer, in milliseconds, in any order of service.
@@ -64,14 +64,14 @@
 
     /// Estimates the earliest answer to a flow's request from the last report of each agent.
     #[must_use]
-    pub fn soonest(&self, now: Time, need: &Need, rank: Rank) -> Soonest {
+    pub fn earliest_answer(&self, now: Time, need: &Need, rank: Rank) -> EarliestAnswer {
         let takers = self.takers(now, need.service);
         let members = self.members(Some(need.service));
         let asked = members.filter(|(agent, candidate)| {
             !need.tried.contains(agent) && self.takes(now, candidate, need, takers)
         });
-        let start = Soonest { servers: 0, least_ms: u64::MAX };
-        asked.fold(start, |soonest, (_, candidate)| Soonest {
+        let start = EarliestAnswer { servers: 0, least_ms: u64::MAX };
+        asked.fold(start, |soonest, (_, candidate)| EarliestAnswer {
             servers: soonest.servers + 1,
             least_ms: soonest.least_ms.min(candidate.known(now).least_ms(rank)),
         })
--- a/crates/nutmegkeel_core/src/l4/placement/signs.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/signs.rs
@@ -41,7 +41,7 @@
     }
 
     /// Applies the load that an agent sent with an answer.
-    pub fn heard(&mut self, now: Time, from: Ipv4Addr, load: Load) {
+    pub fn load_received(&mut self, now: Time, from: Ipv4Addr, load: Load) {
         if let Some(candidate) = self.agents.get_mut(&from) {
             candidate.heard = now;
             candidate.noticed = false;
@@ -75,7 +75,7 @@
 
     /// Returns the number of agents seen recently.
     #[must_use]
-    pub fn heard_of(&self, now: Time) -> usize {
+    pub fn recently_seen_count(&self, now: Time) -> usize {
         self.lately_heard(now).count()
     }
 
@@ -93,7 +93,7 @@
     /// more likely that this process is cut off than that all of them died at once.
     #[must_use]
     pub fn is_cut_off(&self, now: Time) -> bool {
-        self.heard_of(now) * 2 < self.agents.len() || self.agents.is_empty()
+        self.recently_seen_count(now) * 2 < self.agents.len() || self.agents.is_empty()
     }
 
     /// Returns whether a flow that no agent holds does not exist. An agent that is late or
@@ -111,7 +111,7 @@
 
     /// Returns whether all known agents have started recently, as after a power failure.
     #[must_use]
-    pub fn is_young(&self) -> bool {
+    pub fn is_recently_started(&self) -> bool {
         self.agents.values().all(|candidate| candidate.announcement.number <= YOUNG)
     }
 
@@ -129,7 +129,7 @@
 
     /// Extends all timeouts by a period in which this process did not run and could receive
     /// nothing.
-    pub fn forgive(&mut self, span_ms: u64) {
+    pub fn extend_timeouts(&mut self, span_ms: u64) {
         for candidate in self.agents.values_mut() {
             candidate.heard = candidate.heard.after(span_ms);
             candidate.seen = candidate.seen.after(span_ms);
--- a/crates/nutmegkeel_core/src/l4/room.rs
+++ b/crates/nutmegkeel_core/src/l4/room.rs
@@ -5,24 +5,24 @@
 //! requests that no server can answer before their deadline use the time of those that could be
 //! answered.
 
-mod crowd;
-mod returns;
+mod congestion;
+mod retries;
 
-pub use crowd::{CROWD_MS, Crowds, Shortage};
-pub use returns::{REMEMBERED, REMEMBERED_MS, Returns};
+pub use congestion::{CONGESTION_TOLERANCE_MS, Congestion, Shortage};
+pub use retries::{MAX_CALLERS, RETENTION_MS, Retries};
 
 use super::health::{ANNOUNCE_MS, SUMMARY_MS};
 
 /// Age up to which a report shows room, in milliseconds: one announcement interval, one summary
 /// interval and some delay.
-pub const BELIEVED_MS: u64 = ANNOUNCE_MS + SUMMARY_MS + 100;
+pub const MAX_REPORT_AGE_MS: u64 = ANNOUNCE_MS + SUMMARY_MS + 100;
 
 /// Longest plausible service time, in milliseconds. No request has a longer deadline.
 const LONGEST_SERVICE_MS: u64 = 10_000;
 
 /// Last reported state of one backend server that may accept a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct Occupancy {
     /// Requests that it processes at once; fewer than its slots while it is cold.
     pub slots: u16,
     /// Requests in progress and waiting, as reported.
@@ -52,18 +52,18 @@
     pub const FIRST: Self = Self { above: 0, degrees: 1 };
 }
 
-impl Known {
+impl Occupancy {
     /// Returns whether the report is recent enough to show room.
     #[must_use]
-    pub const fn is_believed(&self) -> bool {
-        self.age_ms <= BELIEVED_MS
+    pub const fn is_recent(&self) -> bool {
+        self.age_ms <= MAX_REPORT_AGE_MS
     }
 
     /// Returns the number of slots known to be free. An old report shows none; otherwise all
     /// balancers would use it long after the server filled up.
     #[must_use]
     pub fn free(&self) -> u32 {
-        if !self.is_believed() {
+        if !self.is_recent() {
             return 0;
         }
         let taken = u32::from(self.busy) + u32::from(self.placed);
@@ -120,9 +120,9 @@
 
 impl Room {
     /// Adds a server.
-    pub fn add(&mut self, known: &Known) {
+    pub fn add(&mut self, known: &Occupancy) {
         self.servers += 1;
-        self.doubtful += u32::from(!known.is_believed());
+        self.doubtful += u32::from(!known.is_recent());
         self.slots += u32::from(known.slots);
         self.free += known.free();
         self.backlog_ms += known.backlog_ms();
--- a/crates/nutmegkeel_core/src/l4/room/crowd.rs
+++ b/crates/nutmegkeel_core/src/l4/room/congestion.rs
@@ -3,17 +3,17 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-use super::BELIEVED_MS;
+use super::MAX_REPORT_AGE_MS;
 use crate::clock::Time;
 use crate::l4::route::Service;
 
 /// Duration up to which a congestion refuses no openings, in milliseconds. Servers work off the
 /// requests of a shorter one.
-pub const CROWD_MS: u64 = 2_000;
+pub const CONGESTION_TOLERANCE_MS: u64 = 2_000;
 
 /// Duration after which balancers no longer ask for free slots, in milliseconds. Each report has
 /// been renewed by then.
-const CERTAIN_MS: u64 = BELIEVED_MS;
+const CERTAIN_MS: u64 = MAX_REPORT_AGE_MS;
 
 /// Time without a further observation after which a congestion is over, in milliseconds.
 const OVER_MS: u64 = 1_000;
@@ -43,13 +43,13 @@
 
 /// Periods without a known free slot, by route and service.
 #[derive(Clone, Debug, Default)]
-pub struct Crowds {
+pub struct Congestion {
     crowds: BTreeMap<Place, Crowd>,
 }
 
-impl Crowds {
+impl Congestion {
     /// Records that no free slot is known. Returns how long this has lasted, in milliseconds.
-    pub fn note_full(&mut self, now: Time, place: Place) -> u64 {
+    pub fn record_full(&mut self, now: Time, place: Place) -> u64 {
         let crowd = self.crowds.entry(place).or_insert(Crowd { since: now, seen: now });
         if now.since(crowd.seen) > OVER_MS {
             crowd.since = now;
@@ -61,14 +61,14 @@
     /// Returns whether the period without a free slot has lasted so long that there is no point in
     /// asking for one.
     #[must_use]
-    pub fn is_certain(&self, now: Time, place: Place) -> bool {
+    pub fn is_confirmed(&self, now: Time, place: Place) -> bool {
         let is_certain =
             |crowd: &Crowd| now.since(crowd.since) > CERTAIN_MS && now.since(crowd.seen) <= OVER_MS;
         self.crowds.get(&place).is_some_and(is_certain)
     }
 
     /// Records that a free slot is known.
-    pub fn note_free(&mut self, place: Place) {
+    pub fn record_free(&mut self, place: Place) {
         self.crowds.remove(&place);
     }
 
--- a/crates/nutmegkeel_core/src/l4/room/returns.rs
+++ b/crates/nutmegkeel_core/src/l4/room/retries.rs
@@ -7,10 +7,10 @@
 use crate::l4::flow::Flow;
 
 /// Maximum number of callers remembered, counted once per route. Each takes about 200 bytes.
-pub const REMEMBERED: usize = 4_096;
+pub const MAX_CALLERS: usize = 4_096;
 
 /// Time after which a caller that has not retried has given up, in milliseconds.
-pub const REMEMBERED_MS: u64 = 5_000;
+pub const RETENTION_MS: u64 = 5_000;
 
 /// Address of a caller and the route that refused it.
 type Caller = (Ipv4Addr, SocketAddrV4);
@@ -25,13 +25,13 @@
 /// Callers that were refused recently. Each refusal counts for one retry only, so that a caller
 /// with one refusal does not get precedence for all its other flows.
 #[derive(Clone, Debug, Default)]
-pub struct Returns {
+pub struct Retries {
     callers: BTreeMap<Caller, Refusals>,
     /// The same callers by their last refusal, to drop the oldest first.
     by_age: BTreeSet<(Time, Caller)>,
 }
 
-impl Returns {
+impl Retries {
     /// Records that a flow was refused. If there are too many callers, the one with the oldest
     /// refusal is forgotten.
     pub fn refused(&mut self, now: Time, flow: &Flow) {
@@ -39,7 +39,7 @@
         let known = self.callers.get(&caller).copied();
         if let Some(known) = known {
             self.by_age.remove(&(known.last, caller));
-        } else if self.callers.len() >= REMEMBERED
+        } else if self.callers.len() >= MAX_CALLERS
             && let Some((_, oldest)) = self.by_age.pop_first()
         {
             self.callers.remove(&oldest);
@@ -68,7 +68,7 @@
     /// Forgets callers that have not retried in time.
     pub fn expire(&mut self, now: Time) {
         while let Some((last, caller)) = self.by_age.first().copied()
-            && now.since(last) > REMEMBERED_MS
+            && now.since(last) > RETENTION_MS
         {
             self.by_age.pop_first();
             self.callers.remove(&caller);
--- a/crates/nutmegkeel_core/tests/l4/balance.rs
+++ b/crates/nutmegkeel_core/tests/l4/balance.rs
@@ -207,7 +207,7 @@
     let mut pool = pool();
     hear(&mut pool, load(40, 40), load(0, 0), 0, 3_000);
     for number in [3, 4] {
-        pool.filled(host(number));
+        pool.room_exhausted(host(number));
     }
 
     let agent = chosen(&pool, 3_000, &need(flow(1).key(), Kind::Idempotent, &[]));
--- a/crates/nutmegkeel_core/tests/l4/full_server.rs
+++ b/crates/nutmegkeel_core/tests/l4/full_server.rs
@@ -6,7 +6,7 @@
 use nutmegkeel_core::l4::policy::Policy;
 
 use crate::fixture::{agent_with, ask, at, data, demand, flow, heartbeat, open};
-use crate::room::{SLOTS, called_for};
+use crate::room::{SLOTS, contention_policy};
 
 /// Breaks off the requests of these flows, one after the other.
 fn break_off(agent: &mut Agent, now: u64, flows: impl Iterator<Item = u16>) {
@@ -34,7 +34,7 @@
 /// together with most of its peers, and the few that are left drown.
 #[test]
 fn a_full_server_that_turns_requests_away_is_not_taken_for_faulty() {
-    let mut by_room = agent_with_requests(called_for(), 20);
+    let mut by_room = agent_with_requests(contention_policy(), 20);
     let mut without = agent_with_requests(Policy::default(), 20);
 
     for agent in [&mut by_room, &mut without] {
@@ -48,7 +48,7 @@
 /// A faulty server breaks requests off as they come; it never has many.
 #[test]
 fn a_server_that_breaks_requests_off_while_it_has_slots_is_faulty() {
-    let mut agent = agent_with_requests(called_for(), SLOTS);
+    let mut agent = agent_with_requests(contention_policy(), SLOTS);
 
     break_off(&mut agent, 110, 1..=SLOTS);
 
--- a/crates/nutmegkeel_core/tests/l4/room.rs
+++ b/crates/nutmegkeel_core/tests/l4/room.rs
@@ -9,7 +9,7 @@
 use nutmegkeel_core::l4::message::{Announcement, Load, Message, Offer, State};
 use nutmegkeel_core::l4::placement::{Need, Pool};
 use nutmegkeel_core::l4::policy::{Condition, Policy};
-use nutmegkeel_core::l4::room::{BELIEVED_MS, Known, Rank, Room};
+use nutmegkeel_core::l4::room::{MAX_REPORT_AGE_MS, Occupancy, Rank, Room};
 use nutmegkeel_core::l4::route::{Kind, Urgency};
 
 use crate::fixture::{
@@ -46,7 +46,7 @@
     Announcement { domain: domain_of(agent).into(), ..word(now + 100, State::Ready, load) }
 }
 
-pub(crate) fn called_for() -> Policy {
+pub(crate) fn contention_policy() -> Policy {
     Policy::default().under([Condition::Contention])
 }
 
@@ -107,7 +107,7 @@
 fn an_opening_goes_to_a_free_server_beyond_its_first_five() {
     let five = first_five(flow(1));
     let loads = |agent| if five.contains(&agent) { FULL } else { IDLE };
-    let mut by_room = balancer_with(called_for(), 3_000, loads);
+    let mut by_room = balancer_with(contention_policy(), 3_000, loads);
     let mut without = balancer_with(Policy::default(), 3_000, loads);
 
     let chosen = forwarded(&open(&mut by_room, 3_000, flow(1))).map(number);
@@ -123,7 +123,7 @@
     for port in 1..=50 {
         let five = first_five(flow(port));
         let free = five[usize::from(port) % 5];
-        let mut balancer = balancer_with(called_for(), 3_000, |agent| {
+        let mut balancer = balancer_with(contention_policy(), 3_000, |agent| {
             if five.contains(&agent) && agent != free { FULL } else { IDLE }
         });
 
@@ -137,7 +137,7 @@
 #[test]
 fn when_all_are_full_the_one_that_comes_free_is_taken() {
     for free in [12, 20] {
-        let mut balancer = balancer_with(called_for(), 3_000, |_| FULL);
+        let mut balancer = balancer_with(contention_policy(), 3_000, |_| FULL);
         let frees = Event::Announced(host(free), said(free, 3_100, IDLE));
         balancer.handle(at(3_100), frees);
 
@@ -167,7 +167,7 @@
 #[test]
 fn an_old_report_is_no_room() {
     let mut pool = pool(3_000, |_| IDLE);
-    let later = 3_000 + BELIEVED_MS + 100;
+    let later = 3_000 + MAX_REPORT_AGE_MS + 100;
     for agent in NEAR_AGENTS.filter(|agent| *agent != 12) {
         pool.announced(at(later), host(agent), said(agent, later, FULL));
     }
@@ -186,10 +186,10 @@
 #[test]
 fn an_old_report_is_no_want_of_room_either() {
     let known =
-        Known { slots: SLOTS, busy: 400, placed: 0, service_ms: 100, age_ms: 0, bound: None };
+        Occupancy { slots: SLOTS, busy: 400, placed: 0, service_ms: 100, age_ms: 0, bound: None };
     let rank = Rank { above: 1, degrees: 2 };
 
-    let least_ms = |age_ms| Known { age_ms, ..known }.least_ms(rank);
+    let least_ms = |age_ms| Occupancy { age_ms, ..known }.least_ms(rank);
 
     assert_eq!(least_ms(0), 5_000);
     assert_eq!(least_ms(3_000), 2_000);
@@ -201,11 +201,11 @@
 #[test]
 fn absurd_figures_neither_attract_nor_refuse() {
     let sane =
-        Known { slots: SLOTS, busy: SLOTS, placed: 0, service_ms: 100, age_ms: 0, bound: None };
+        Occupancy { slots: SLOTS, busy: SLOTS, placed: 0, service_ms: 100, age_ms: 0, bound: None };
 
-    let no_slots = Known { slots: 0, busy: 0, ..sane };
-    let hours = Known { service_ms: u16::MAX, ..sane };
-    let endless = Known { busy: u16::MAX, placed: u16::MAX, ..sane };
+    let no_slots = Occupancy { slots: 0, busy: 0, ..sane };
+    let hours = Occupancy { service_ms: u16::MAX, ..sane };
+    let endless = Occupancy { busy: u16::MAX, placed: u16::MAX, ..sane };
 
     for known in [no_slots, hours, endless] {
         let mut room = Room::default();
@@ -298,7 +298,11 @@
 fn a_copy_of_an_opening_stays_where_the_first_went() {
     let five = first_five(flow(1));
     let mut balancer =
-        balancer_with(called_for(), 3_000, |agent| if five.contains(&agent) { FULL } else { IDLE });
+        balancer_with(
+            contention_policy(),
+            3_000,
+            |agent| if five.contains(&agent) { FULL } else { IDLE },
+        );
     let first = forwarded(&open(&mut balancer, 3_000, flow(1)));
     announce(&mut balancer, 3_100, |agent| if five.contains(&agent) { IDLE } else { FULL });
 
@@ -310,7 +314,8 @@
 /// The status lists the room by service and failure domain, only where openings are placed by it.
 #[test]
 fn status_shows_the_room() {
-    let by_room = balancer_with(called_for(), 3_000, |agent| if agent == 1 { IDLE } else { FULL });
+    let by_room =
+        balancer_with(contention_policy(), 3_000, |agent| if agent == 1 { IDLE } else { FULL });
     let without = balancer_with(Policy::default(), 3_000, |_| IDLE);
 
     let rooms = by_room.status(at(3_000)).rooms;
--- a/crates/nutmegkeel_core/tests/l4/shortage.rs
+++ b/crates/nutmegkeel_core/tests/l4/shortage.rs
@@ -7,11 +7,11 @@
 use nutmegkeel_core::l4::message::{Insistence, Load, Reason};
 use nutmegkeel_core::l4::note::{Cause, Note};
 use nutmegkeel_core::l4::policy::{Condition, Mechanism, Policy};
-use nutmegkeel_core::l4::room::{CROWD_MS, REMEMBERED, REMEMBERED_MS, Returns};
+use nutmegkeel_core::l4::room::{CONGESTION_TOLERANCE_MS, MAX_CALLERS, RETENTION_MS, Retries};
 
 use crate::fixture::{PORT, at, flow, forwarded, host, opening, resets, service_address};
 use crate::room::{
-    FULL, IDLE, LATER_PORT, SLOTS, announce, balancer_with, called_for, offered, open,
+    FULL, IDLE, LATER_PORT, SLOTS, announce, balancer_with, contention_policy, offered, open,
 };
 
 const DEADLINE_MS: u64 = 2_500;
@@ -62,14 +62,14 @@
 /// restarts the two seconds.
 #[test]
 fn a_crowd_of_two_seconds_turns_nobody_away() {
-    let mut balancer = balancer_with(called_for(), 3_000, |_| HOPELESS);
+    let mut balancer = balancer_with(contention_policy(), 3_000, |_| HOPELESS);
     let mut port = 0;
     let mut is_refused = |balancer: &mut Balancer, now| {
         port += 1;
         resets(&open(balancer, now, flow(port)))
     };
 
-    for now in (3_000..=3_000 + CROWD_MS).step_by(100) {
+    for now in (3_000..=3_000 + CONGESTION_TOLERANCE_MS).step_by(100) {
         announce(&mut balancer, now, |_| HOPELESS);
         assert!(!is_refused(&mut balancer, now), "{now}");
     }
@@ -88,7 +88,7 @@
 /// agent that becomes free is asked for a free slot again.
 #[test]
 fn in_a_crowd_no_free_slot_is_looked_for() {
-    let mut balancer = balancer_with(called_for(), 3_000, |_| CROWDED);
+    let mut balancer = balancer_with(contention_policy(), 3_000, |_| CROWDED);
     let mut asked = Vec::new();
     for (port, now) in (1..).zip((3_000..=4_500).step_by(300)) {
         announce(&mut balancer, now, |_| CROWDED);
@@ -108,7 +108,7 @@
 /// in time; more urgent ones are served first and must not be refused.
 #[test]
 fn a_lasting_overload_refuses_the_least_urgent_first() {
-    let mut balancer = balancer_with(called_for(), 3_000, |_| CROWDED);
+    let mut balancer = balancer_with(contention_policy(), 3_000, |_| CROWDED);
     let mut refused = [0, 0];
     for (port, now) in (1..).zip((3_000..=8_000).step_by(100)) {
         announce(&mut balancer, now, |_| CROWDED);
@@ -126,7 +126,7 @@
 /// still waits for the answer.
 #[test]
 fn an_opening_past_its_usual_time_still_goes_to_a_free_server() {
-    let mut balancer = balancer_with(called_for(), 3_000, |_| FULL);
+    let mut balancer = balancer_with(contention_policy(), 3_000, |_| FULL);
     let first = forwarded(&open(&mut balancer, 3_000, flow(1))).expect("an agent accepts the flow");
     let free = if first == host(12) { 11 } else { 12 };
     for now in [3_300, 3_600, 3_900, 4_200] {
@@ -140,7 +140,7 @@
 
 #[test]
 fn a_refusal_says_what_it_rested_on() {
-    let mut balancer = balancer_with(called_for(), 3_000, |_| HOPELESS);
+    let mut balancer = balancer_with(contention_policy(), 3_000, |_| HOPELESS);
     for now in (3_000..=5_100).step_by(300) {
         announce(&mut balancer, now, |_| HOPELESS);
         open(&mut balancer, now, from_other_client(1));
@@ -162,7 +162,7 @@
 /// attempts are used up, while new callers are served.
 #[test]
 fn a_caller_that_comes_back_is_not_refused_again() {
-    let mut balancer = balancer_with(called_for(), 3_000, |_| HOPELESS);
+    let mut balancer = balancer_with(contention_policy(), 3_000, |_| HOPELESS);
     for now in (3_000..=5_400).step_by(300) {
         announce(&mut balancer, now, |_| HOPELESS);
         open(&mut balancer, now, from_other_client(1));
@@ -182,7 +182,7 @@
 /// the same caller and route.
 #[test]
 fn a_refusal_is_good_for_one_return_of_its_caller() {
-    let mut balancer = balancer_with(called_for(), 3_000, |_| FULL);
+    let mut balancer = balancer_with(contention_policy(), 3_000, |_| FULL);
     let refused = until_refused(&mut balancer, 3_000, flow(1), Reason::Late);
     assert_eq!(refused_for(&refused), Some(Cause::AllDeclined));
 
@@ -212,7 +212,7 @@
 /// limited.
 #[test]
 fn memory_of_refused_callers_is_bounded() {
-    let mut returns = Returns::default();
+    let mut returns = Retries::default();
     let from = |number: u32| {
         let client = SocketAddrV4::new(Ipv4Addr::from_bits(0x6440_0000 + number), 1_000);
         Flow { client, service: service_address(PORT) }
@@ -220,12 +220,12 @@
 
     for number in 0..100_000 {
         returns.refused(at(u64::from(number) / 100), &from(number));
-        assert!(returns.len() <= REMEMBERED);
+        assert!(returns.len() <= MAX_CALLERS);
     }
 
     assert!(!returns.claim(at(1_000), &from(0)));
     assert!(returns.claim(at(1_000), &from(99_999)));
     assert!(!returns.claim(at(1_000), &from(99_999)));
-    assert!(!returns.claim(at(1_001 + REMEMBERED_MS), &from(99_998)));
+    assert!(!returns.claim(at(1_001 + RETENTION_MS), &from(99_998)));
     assert!(returns.is_empty());
 }
--- a/crates/nutmegkeel_core/tests/l4/shortage_random.rs
+++ b/crates/nutmegkeel_core/tests/l4/shortage_random.rs
@@ -7,12 +7,14 @@
 use nutmegkeel_core::l4::flow::Flow;
 use nutmegkeel_core::l4::message::{Announcement, Insistence, Load, Reason};
 use nutmegkeel_core::l4::note::Cause;
-use nutmegkeel_core::l4::room::BELIEVED_MS;
+use nutmegkeel_core::l4::room::MAX_REPORT_AGE_MS;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 use crate::fixture::{PORT, at, forwarded, host, service_address};
-use crate::room::{LATER_PORT, SLOTS, all, balancer_with, called_for, number, offered, open, said};
+use crate::room::{
+    LATER_PORT, SLOTS, all, balancer_with, contention_policy, number, offered, open, said,
+};
 use crate::shortage::{HOPELESS, declines, refused_for};
 
 /// Last report of a random agent, its time, and the agent's answer to an opening.
@@ -46,7 +48,7 @@
     }
 
     fn has_room(&self, now: u64) -> bool {
-        !self.is_cold && now - self.heard <= BELIEVED_MS && self.load.busy < self.slots
+        !self.is_cold && now - self.heard <= MAX_REPORT_AGE_MS && self.load.busy < self.slots
     }
 }
 
@@ -67,7 +69,7 @@
 /// Simulates a random fleet for four seconds and checks each refusal.
 fn refusals_of_fleet(fleet: u64) -> Vec<Cause> {
     let mut random = StdRng::seed_from_u64(fleet);
-    let mut balancer = balancer_with(called_for(), 3_000, |_| HOPELESS);
+    let mut balancer = balancer_with(contention_policy(), 3_000, |_| HOPELESS);
     let mut known: BTreeMap<u8, Drawn> = BTreeMap::new();
     let mut refusals = Vec::new();
     for (port, now) in (1..).zip((3_300..7_500).step_by(300)) {
--- a/crates/nutmegkeel_core/tests/l4/summary.rs
+++ b/crates/nutmegkeel_core/tests/l4/summary.rs
@@ -142,7 +142,7 @@
 fn a_summary_does_not_bring_an_older_load_back() {
     let mut pool = pool();
     summarise(&mut pool, 3_000, 3_000);
-    pool.heard(at(3_250), host(1), load(9, 9));
+    pool.load_received(at(3_250), host(1), load(9, 9));
 
     let change = pool.reported(at(3_300), &summary(Vec::new()), &report(12, 200));
 
--- a/crates/nutmegkeel_dev/src/measure/finding.rs
+++ b/crates/nutmegkeel_dev/src/measure/finding.rs
@@ -67,7 +67,7 @@
         black_box(pool.choose_free(Time::ZERO, &need(flow(port).key())));
     });
     let soonest_us = mean_us(|port| {
-        black_box(pool.soonest(Time::ZERO, &need(flow(port).key()), Rank::FIRST));
+        black_box(pool.earliest_answer(Time::ZERO, &need(flow(port).key()), Rank::FIRST));
     });
     json!({"choose_us": choose_us, "choose_free_us": choose_free_us, "soonest_us": soonest_us})
 }
