--- a/crates/nutmegkeel_core/src/l4/placement.rs
+++ b/crates/nutmegkeel_core/src/l4/placement.rs
@@ -9,9 +9,9 @@
 mod evenness;
 mod free;
 mod inheritance;
+mod liveness;
 mod order;
 mod report;
-mod signs;
 mod uneven;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -118,25 +118,26 @@
     }
 
     /// Applies an agent's announcement.
-    pub fn announced(&mut self, now: Time, from: Ipv4Addr, word: Announcement) -> Change {
+    pub fn announced(&mut self, now: Time, from: Ipv4Addr, announcement: Announcement) -> Change {
         let known = self.agents.get_mut(&from);
-        let told = known.as_ref().and_then(|known| known.told);
+        let last_sent = known.as_ref().and_then(|known| known.last_sent);
         let slowness = known.as_ref().and_then(|known| known.slowness);
-        let least_flows = known.as_ref().map_or(0, |known| known.least_flows);
-        let change = known.map_or(Change::Appeared, |known| known.change(now, &word));
+        let min_flows = known.as_ref().map_or(0, |known| known.min_flows);
+        let change = known.map_or(Change::Appeared, |known| known.change(now, &announcement));
         if change == Change::Stale {
             return change;
         }
-        if word.state == State::Gone {
+        if announcement.state == State::Gone {
             self.remove(from);
             return Change::Closed;
         }
         // A new process has not received what was sent to its predecessor, and it may have another
         // backend server.
-        let told = told.filter(|_| change != Change::Appeared);
+        let last_sent = last_sent.filter(|_| change != Change::Appeared);
         let slowness = slowness.filter(|_| change != Change::Appeared);
-        let inherited = self.inherited(now, from, &word, change);
-        let mut candidate = Candidate { slowness, least_flows, ..Candidate::new(now, word, told) };
+        let inherited = self.inherited(now, from, &announcement, change);
+        let mut candidate =
+            Candidate { slowness, min_flows, ..Candidate::new(now, announcement, last_sent) };
         candidate.inherit(now, inherited);
         self.insert(from, candidate);
         change
@@ -146,11 +147,11 @@
         &self,
         now: Time,
         from: Ipv4Addr,
-        word: &Announcement,
+        announcement: &Announcement,
         change: Change,
     ) -> Option<Inheritance> {
         let known = self.agents.get(&from).filter(|_| self.balance.is_some())?;
-        Inheritance::next(now, known, word, change)
+        Inheritance::next(now, known, announcement, change)
     }
 
     fn insert(&mut self, agent: Ipv4Addr, candidate: Candidate) {
@@ -161,18 +162,18 @@
             return;
         }
         if let Some(before) = moved_from {
-            self.leave(agent, before);
+            self.remove_member(agent, before);
         }
         self.members.entry(service).or_default().insert(agent);
     }
 
     fn remove(&mut self, agent: Ipv4Addr) {
         if let Some(candidate) = self.agents.remove(&agent) {
-            self.leave(agent, candidate.announcement.service);
+            self.remove_member(agent, candidate.announcement.service);
         }
     }
 
-    fn leave(&mut self, agent: Ipv4Addr, service: Option<Service>) {
+    fn remove_member(&mut self, agent: Ipv4Addr, service: Option<Service>) {
         if let Some(members) = self.members.get_mut(&service) {
             members.remove(&agent);
             if members.is_empty() {
@@ -187,15 +188,15 @@
         members.filter_map(|agent| Some((*agent, self.agents.get(agent)?)))
     }
 
-    fn find(&self, is_meant: impl Fn(&Candidate) -> bool) -> Vec<Ipv4Addr> {
-        let meant = self.agents.iter().filter(|(_, candidate)| is_meant(candidate));
-        meant.map(|(agent, _)| *agent).collect()
+    fn find_agents(&self, matches: impl Fn(&Candidate) -> bool) -> Vec<Ipv4Addr> {
+        let matching = self.agents.iter().filter(|(_, candidate)| matches(candidate));
+        matching.map(|(agent, _)| *agent).collect()
     }
 
-    fn mark(&mut self, agents: &[Ipv4Addr], note: impl Fn(&mut Candidate)) {
+    fn update(&mut self, agents: &[Ipv4Addr], apply: impl Fn(&mut Candidate)) {
         for agent in agents {
             if let Some(candidate) = self.agents.get_mut(agent) {
-                note(candidate);
+                apply(candidate);
             }
         }
     }
@@ -205,9 +206,9 @@
         let Some(candidate) = self.agents.get_mut(&agent) else {
             return;
         };
-        candidate.give();
+        candidate.record_placed();
         if let Some(balance) = &mut self.balance {
-            balance.sent_to(&candidate.announcement.domain);
+            balance.record_opening(&candidate.announcement.domain);
         }
     }
 
@@ -238,10 +239,11 @@
     /// Returns the number of agents that may accept this flow now.
     #[must_use]
     pub fn open_agents(&self, now: Time, need: &Need) -> usize {
-        let state = self.takers(now, need.service);
+        let state = self.eligible_state(now, need.service);
         let members = self.members(Some(need.service));
         let is_open = |candidate: &Candidate| {
-            self.is_in(now, candidate, need.service, state) && self.is_allowed(candidate, need)
+            self.is_eligible(now, candidate, need.service, state)
+                && self.is_allowed(candidate, need)
         };
         members.filter(|(_, candidate)| is_open(candidate)).count()
     }
@@ -261,31 +263,38 @@
     /// were not evacuated.
     #[must_use]
     pub fn is_evacuated(&self, now: Time, service: Service) -> bool {
-        let takes = |candidate: &Candidate| {
-            candidate.is_in(self.sight(now, candidate), service, State::Ready)
+        let accepts = |candidate: &Candidate| {
+            candidate.is_fresh_in(self.visibility(now, candidate), service, State::Ready)
         };
-        self.members(Some(service)).any(|(_, one)| self.is_spared(one) && takes(one))
+        self.members(Some(service)).any(|(_, one)| self.is_in_evacuated_domain(one) && accepts(one))
     }
 
-    fn is_spared(&self, candidate: &Candidate) -> bool {
+    fn is_in_evacuated_domain(&self, candidate: &Candidate) -> bool {
         self.evacuated.contains(&candidate.announcement.domain)
     }
 
-    fn is_in(&self, now: Time, candidate: &Candidate, service: Service, state: State) -> bool {
-        !self.is_spared(candidate) && candidate.is_in(self.sight(now, candidate), service, state)
+    fn is_eligible(
+        &self,
+        now: Time,
+        candidate: &Candidate,
+        service: Service,
+        state: State,
+    ) -> bool {
+        !self.is_in_evacuated_domain(candidate)
+            && candidate.is_fresh_in(self.visibility(now, candidate), service, state)
     }
 
-    fn count(&self, now: Time, service: Service, state: State) -> usize {
+    fn eligible_count(&self, now: Time, service: Service, state: State) -> usize {
         let members = self.members(Some(service));
-        members.filter(|(_, candidate)| self.is_in(now, candidate, service, state)).count()
+        members.filter(|(_, candidate)| self.is_eligible(now, candidate, service, state)).count()
     }
 
     /// Returns the state whose agents get the new flows of a service: healthy ones, unless more
     /// agents are failing than healthy. If most of a service is failing, its few healthy servers
     /// could not take the whole load.
-    fn takers(&self, now: Time, service: Service) -> State {
-        let healthy = self.count(now, service, State::Ready);
-        let failing = self.count(now, service, State::Failing);
+    fn eligible_state(&self, now: Time, service: Service) -> State {
+        let healthy = self.eligible_count(now, service, State::Ready);
+        let failing = self.eligible_count(now, service, State::Failing);
         if failing > healthy { State::Failing } else { State::Ready }
     }
 
@@ -300,17 +309,17 @@
         let Some(candidate) = self.agents.get(&agent) else {
             return Notification::Addresses;
         };
-        match candidate.told {
-            Some(told) if told.covers(&next, pause_ms) => Notification::Nothing,
+        match candidate.last_sent {
+            Some(last_sent) if last_sent.covers(&next, pause_ms) => Notification::Nothing,
             _ if candidate.announcement.balancers == next.digest => Notification::Heartbeat,
             _ => Notification::Addresses,
         }
     }
 
     /// Records what was sent to an agent.
-    pub fn record_sent(&mut self, agent: Ipv4Addr, told: Told) {
+    pub fn record_sent(&mut self, agent: Ipv4Addr, sent: Told) {
         if let Some(candidate) = self.agents.get_mut(&agent) {
-            candidate.told = Some(told);
+            candidate.last_sent = Some(sent);
         }
     }
 
--- a/crates/nutmegkeel_core/src/l4/placement/balance.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/balance.rs
@@ -25,32 +25,32 @@
 
 /// Difference in utilization that causes no surcharge, in thousandths of the slots of a failure
 /// domain. Smaller differences occur at random between small groups of servers.
-const BAND: u64 = 300;
+const TOLERANCE: u64 = 300;
 
 /// Upper bound of a surcharge, in thousandths of a slot. With three more requests per slot, a new
 /// request waits for three others.
-const MOST: u64 = 3_000;
+const MAX_SURCHARGE: u64 = 3_000;
 
 /// Utilization of the other domains up to which a surcharge has its full effect, in thousandths of
 /// their slots. Below it, a new request usually finds a free slot there.
-const ROOMY: u64 = 1_000;
+const FULL_EFFECT_BELOW: u64 = 1_000;
 
 /// Utilization of the other domains from which there is no surcharge, in thousandths of their
 /// slots. Requests queue there too, so moving a flow gains nothing and costs traffic between
 /// domains.
-const FULL: u64 = 2_000;
+const NO_EFFECT_ABOVE: u64 = 2_000;
 
 /// Maximum change of a surcharge per second, in thousandths of a slot. It is slow compared with the
 /// interval of reports, so that balancers see the effect of a change before the next one.
-const CHANGE_PER_S: u64 = 2_000;
+const SURCHARGE_CHANGE_PER_S: u64 = 2_000;
 
 /// Maximum number of requests per slot that a report counts for. It bounds the effect of a single
 /// wrong report.
-const MOST_PER_SLOT: u64 = 16;
+const MAX_REQUESTS_PER_SLOT: u64 = 16;
 
 /// Surcharge from which a domain is reported to operators as spared, in thousandths of a slot. It
 /// equals the cost of leaving the domain for small answers.
-const NOTED: u64 = 150;
+const REPORTED_SURCHARGE: u64 = 150;
 
 /// Utilization of one failure domain for one service, as seen by one balancer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -73,8 +73,8 @@
 /// Levels computed by one balancer, and the destinations of its recent openings.
 #[derive(Clone, Debug)]
 pub(super) struct Balance {
-    own: Arc<str>,
-    stepped: Time,
+    own_domain: Arc<str>,
+    stepped_at: Time,
     services: BTreeMap<Service, BTreeMap<Arc<str>, Level>>,
     openings: Openings,
 }
@@ -82,8 +82,8 @@
 /// Recent openings. Each counts for 1,000 at first and decays with time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Openings {
-    near: u64,
-    far: u64,
+    local: u64,
+    remote: u64,
 }
 
 /// Sum of the latest loads of the agents of one service and failure domain that accept new flows.
@@ -101,9 +101,9 @@
 
 impl Balance {
     /// Creates a balance without any level, for a balancer in this failure domain.
-    pub(super) fn open(own: Arc<str>) -> Self {
+    pub(super) fn open(own_domain: Arc<str>) -> Self {
         let (services, openings) = (BTreeMap::new(), Openings::default());
-        Self { own, stepped: Time::ZERO, services, openings }
+        Self { own_domain, stepped_at: Time::ZERO, services, openings }
     }
 
     /// Returns the load added to each server of a failure domain, in thousandths of a slot.
@@ -113,34 +113,37 @@
     }
 
     /// Counts an opening that is sent to this failure domain.
-    pub(super) fn sent_to(&mut self, domain: &str) {
-        let count =
-            if *domain == *self.own { &mut self.openings.near } else { &mut self.openings.far };
+    pub(super) fn record_opening(&mut self, domain: &str) {
+        let count = if *domain == *self.own_domain {
+            &mut self.openings.local
+        } else {
+            &mut self.openings.remote
+        };
         *count += 1_000;
     }
 
     /// Advances by `elapsed_ms` with the current samples. Returns the levels to report to
     /// operators.
     fn step(&mut self, elapsed_ms: u64, samples: &BTreeMap<Service, Samples>) -> Vec<Level> {
-        self.openings.fade(elapsed_ms);
+        self.openings.decay(elapsed_ms);
         self.services.retain(|service, _| samples.contains_key(service));
-        let mut told = Vec::new();
+        let mut reported = Vec::new();
         for (service, samples) in samples {
             let levels = self.services.entry(*service).or_default();
             for domain in samples.keys() {
                 levels.entry(Arc::clone(domain)).or_insert_with(|| Level::new(*service, domain));
             }
-            told.extend(step_service(elapsed_ms, levels, samples));
+            reported.extend(step_service(elapsed_ms, levels, samples));
         }
-        told
+        reported
     }
 }
 
 /// Returns the surcharge for the utilization of a domain and that of the other domains.
-fn wanted(here: u64, elsewhere: u64) -> u64 {
-    let excess = here.saturating_sub(elsewhere).saturating_sub(BAND).min(MOST);
-    let room = FULL.saturating_sub(elsewhere).min(FULL - ROOMY);
-    excess * room / (FULL - ROOMY)
+fn target_surcharge(here: u64, elsewhere: u64) -> u64 {
+    let excess = here.saturating_sub(elsewhere).saturating_sub(TOLERANCE).min(MAX_SURCHARGE);
+    let room = NO_EFFECT_ABOVE.saturating_sub(elsewhere).min(NO_EFFECT_ABOVE - FULL_EFFECT_BELOW);
+    excess * room / (NO_EFFECT_ABOVE - FULL_EFFECT_BELOW)
 }
 
 fn step_service(
@@ -157,19 +160,19 @@
         Some((Arc::clone(domain), level.utilization? * capacity, capacity))
     });
     let known: Vec<_> = known.collect();
-    let mut told = Vec::new();
+    let mut reported = Vec::new();
     for (domain, level) in levels.iter_mut() {
         let others = known.iter().filter(|(other, ..)| other != domain);
         let (busy, capacity) =
             others.fold((0, 0), |(all, slots), (_, busy, capacity)| (all + busy, slots + capacity));
         level.elsewhere = (capacity > 0).then(|| busy / capacity);
         level.adapt(elapsed_ms);
-        if level.is_news() {
+        if level.is_spared_changed() {
             level.is_spared = !level.is_spared;
-            told.push(level.clone());
+            reported.push(level.clone());
         }
     }
-    told
+    reported
 }
 
 impl Level {
@@ -202,25 +205,25 @@
     /// Moves the surcharge towards its target. The change is limited to prevent oscillation: all
     /// balancers of all domains see the same reports and react at the same time.
     fn adapt(&mut self, elapsed_ms: u64) {
-        let wanted = match (self.utilization, self.elsewhere) {
-            (Some(here), Some(elsewhere)) => wanted(here, elsewhere),
+        let target = match (self.utilization, self.elsewhere) {
+            (Some(here), Some(elsewhere)) => target_surcharge(here, elsewhere),
             _ => 0,
         };
-        let change = (CHANGE_PER_S * elapsed_ms / 1_000).max(1);
+        let change = (SURCHARGE_CHANGE_PER_S * elapsed_ms / 1_000).max(1);
         let least = self.surcharge.saturating_sub(change);
-        self.surcharge = wanted.clamp(least, self.surcharge + change);
+        self.surcharge = target.clamp(least, self.surcharge + change);
     }
 
     /// Returns whether a surcharge worth reporting began, or a reported one ended.
-    const fn is_news(&self) -> bool {
-        if self.is_spared { self.surcharge == 0 } else { self.surcharge >= NOTED }
+    const fn is_spared_changed(&self) -> bool {
+        if self.is_spared { self.surcharge == 0 } else { self.surcharge >= REPORTED_SURCHARGE }
     }
 }
 
 impl Openings {
-    fn fade(&mut self, elapsed_ms: u64) {
+    fn decay(&mut self, elapsed_ms: u64) {
         let left_ms = SMOOTHING_MS.saturating_sub(elapsed_ms);
-        for count in [&mut self.near, &mut self.far] {
+        for count in [&mut self.local, &mut self.remote] {
             *count = *count * left_ms / SMOOTHING_MS;
         }
     }
@@ -229,8 +232,8 @@
 impl Pool {
     /// Enables the surcharge on failure domains with a high utilization and the tracking of
     /// inherited flows, for a balancer in this domain.
-    pub fn balance_domains(&mut self, own: Arc<str>) {
-        self.balance = Some(Balance::open(own));
+    pub fn balance_domains(&mut self, own_domain: Arc<str>) {
+        self.balance = Some(Balance::open(own_domain));
     }
 
     /// Updates the utilization of the failure domains if a step is due. Returns the levels of
@@ -239,14 +242,14 @@
         let Some(mut balance) = self.balance.take() else {
             return Vec::new();
         };
-        let elapsed_ms = now.since(balance.stepped);
-        let mut told = Vec::new();
+        let elapsed_ms = now.since(balance.stepped_at);
+        let mut reported = Vec::new();
         if elapsed_ms >= STEP_MS {
-            balance.stepped = now;
-            told = balance.step(elapsed_ms.min(SMOOTHING_MS), &self.samples(now));
+            balance.stepped_at = now;
+            reported = balance.step(elapsed_ms.min(SMOOTHING_MS), &self.samples(now));
         }
         self.balance = Some(balance);
-        told
+        reported
     }
 
     /// Returns the levels of all services and failure domains.
@@ -259,8 +262,8 @@
     /// `None` if there was no recent opening.
     #[must_use]
     pub fn sent_remote(&self) -> Option<u64> {
-        let Openings { near, far } = self.balance.as_ref()?.openings;
-        (near + far > 0).then(|| far * 1_000 / (near + far))
+        let Openings { local, remote } = self.balance.as_ref()?.openings;
+        (local + remote > 0).then(|| remote * 1_000 / (local + remote))
     }
 
     /// Returns the load added to a candidate for its failure domain, in thousandths of a slot.
@@ -275,13 +278,13 @@
     }
 
     fn samples_of(&self, now: Time, service: Service) -> Samples {
-        let takers = self.takers(now, service);
-        let takes = |one: &Candidate| {
+        let eligible_state = self.eligible_state(now, service);
+        let accepts = |one: &Candidate| {
             let state = one.announcement.state;
-            (state == State::Ready || state == takers) && !self.is_spared(one)
+            (state == State::Ready || state == eligible_state) && !self.is_in_evacuated_domain(one)
         };
         let mut samples = Samples::new();
-        for (_, one) in self.members(Some(service)).filter(|(_, one)| takes(one)) {
+        for (_, one) in self.members(Some(service)).filter(|(_, one)| accepts(one)) {
             let sample = samples.entry(Arc::clone(&one.announcement.domain)).or_default();
             match self.health_of(now, one) {
                 Health::Fresh => sample.add(one),
@@ -297,7 +300,7 @@
     fn add(&mut self, one: &Candidate) {
         let capacity = one.capacity();
         let busy = u64::from(one.load.busy) + u64::from(one.placed_since);
-        self.busy += busy.min(capacity * MOST_PER_SLOT / 100);
+        self.busy += busy.min(capacity * MAX_REQUESTS_PER_SLOT / 100);
         self.capacity += capacity;
         self.fresh += 1;
     }
--- a/crates/nutmegkeel_core/src/l4/placement/candidate.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/candidate.rs
@@ -20,7 +20,7 @@
 pub(super) struct Weights {
     busy: u64,
     flow: u64,
-    far: u64,
+    remote: u64,
 }
 
 impl Weights {
@@ -29,9 +29,9 @@
     /// failure domain costs traffic between domains, which is largest for downloads.
     pub(super) const fn of(kind: Kind) -> Self {
         match kind {
-            Kind::Idempotent => Self { busy: 250, flow: 250, far: 150 },
-            Kind::Once => Self { busy: 1_000, flow: 50, far: 150 },
-            Kind::Download => Self { busy: 1_000, flow: 50, far: 1_500 },
+            Kind::Idempotent => Self { busy: 250, flow: 250, remote: 150 },
+            Kind::Once => Self { busy: 1_000, flow: 50, remote: 150 },
+            Kind::Download => Self { busy: 1_000, flow: 50, remote: 1_500 },
         }
     }
 }
@@ -39,7 +39,7 @@
 /// A process whose announcements carry an earlier start than those of the known process at its
 /// address.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Rival {
+pub(super) struct Unconfirmed {
     incarnation: u64,
     number: u64,
 }
@@ -49,14 +49,14 @@
 pub(super) struct Candidate {
     pub(super) announcement: Announcement,
     /// Time of the last announcement.
-    pub(super) announced: Time,
+    pub(super) announced_at: Time,
     /// Last announcement at this address with an earlier start than that of the known process.
-    pub(super) rival: Option<Rival>,
+    pub(super) unconfirmed: Option<Unconfirmed>,
     /// Time of the last announcement or answer, also as reported by a summary.
-    pub(super) heard: Time,
+    pub(super) last_seen: Time,
     /// Time of the last report on the agent, by a summary or by itself.
-    pub(super) seen: Time,
-    pub(super) load_heard: Time,
+    pub(super) reported_at: Time,
+    pub(super) load_received_at: Time,
     pub(super) load: Load,
     pub(super) placed_since: u16,
     /// Flows inherited from the previous process at this address.
@@ -64,35 +64,35 @@
     /// Flows that the backend server holds and the agent does not know yet.
     pub(super) missing: u16,
     /// Whether the agent was returned as newly silent.
-    pub(super) noticed: bool,
+    pub(super) is_silence_reported: bool,
     /// Whether the agent was returned as newly late.
-    pub(super) noticed_late: bool,
+    pub(super) is_lateness_reported: bool,
     /// What this balancer last sent to the agent about the balancers.
-    pub(super) told: Option<Told>,
+    pub(super) last_sent: Option<Told>,
     /// Service times that make its server count as slow; `None` if it does not.
     pub(super) slowness: Option<Slowness>,
     /// Minimum number of open flows that the agent counts for.
-    pub(super) least_flows: u64,
+    pub(super) min_flows: u64,
 }
 
 impl Candidate {
-    pub(super) fn new(now: Time, word: Announcement, told: Option<Told>) -> Self {
+    pub(super) fn new(now: Time, announcement: Announcement, last_sent: Option<Told>) -> Self {
         Self {
-            announced: now,
-            rival: None,
-            heard: now,
-            seen: now,
-            load_heard: now,
-            load: word.load,
-            announcement: word,
+            announced_at: now,
+            unconfirmed: None,
+            last_seen: now,
+            reported_at: now,
+            load_received_at: now,
+            load: announcement.load,
+            announcement,
             placed_since: 0,
             inherited: None,
             missing: 0,
-            noticed: false,
-            noticed_late: false,
-            told,
+            is_silence_reported: false,
+            is_lateness_reported: false,
+            last_sent,
             slowness: None,
-            least_flows: 0,
+            min_flows: 0,
         }
     }
 
@@ -104,98 +104,104 @@
     /// process has the smaller incarnation for good, and without it its server would get no flows
     /// until the old process is forgotten. A delayed datagram does not qualify, since a dead
     /// process sends no later number.
-    pub(super) fn change(&mut self, now: Time, word: &Announcement) -> Change {
+    pub(super) fn change(&mut self, now: Time, announcement: &Announcement) -> Change {
         let known = &self.announcement;
-        if word.incarnation >= known.incarnation {
-            return change_by_later(known, word);
+        if announcement.incarnation >= known.incarnation {
+            return change_by_newer(known, announcement);
         }
-        let rival = Rival { incarnation: word.incarnation, number: word.number };
-        let before = self.rival.replace(rival);
-        let goes_on = before.is_some_and(|before| {
-            before.incarnation == rival.incarnation && before.number < rival.number
+        let unconfirmed =
+            Unconfirmed { incarnation: announcement.incarnation, number: announcement.number };
+        let before = self.unconfirmed.replace(unconfirmed);
+        let continues = before.is_some_and(|before| {
+            before.incarnation == unconfirmed.incarnation && before.number < unconfirmed.number
         });
-        let is_silent = now.since(self.announced) > LATE_MS;
-        if goes_on && is_silent { Change::Appeared } else { Change::Stale }
+        let is_silent = now.since(self.announced_at) > LATE_MS;
+        if continues && is_silent { Change::Appeared } else { Change::Stale }
     }
 
     /// Returns the health as seen by a process that received reports on the agent until then.
-    pub(super) fn health(&self, seen: Sight) -> Health {
-        let silence_ms = seen.until.since(self.heard);
+    pub(super) fn health(&self, visibility: Visibility) -> Health {
+        let silence_ms = visibility.until.since(self.last_seen);
         let health = Health::of(silence_ms, self.announcement.state == State::Restarting);
-        if seen.is_blind { health.max(Health::Late) } else { health }
+        if visibility.is_interrupted { health.max(Health::Late) } else { health }
     }
 
     /// Returns whether the agent may hold flows: it can be queried, or it is late or restarting and
     /// has a backend server.
-    pub(super) fn may_hold(&self, seen: Sight) -> bool {
-        match self.health(seen) {
+    pub(super) fn may_hold(&self, visibility: Visibility) -> bool {
+        match self.health(visibility) {
             Health::Fresh => true,
             Health::Late | Health::Restarting => self.announcement.service.is_some(),
             Health::Silent => false,
         }
     }
 
-    pub(super) fn is_in(&self, seen: Sight, service: Service, state: State) -> bool {
+    pub(super) fn is_fresh_in(
+        &self,
+        visibility: Visibility,
+        service: Service,
+        state: State,
+    ) -> bool {
         self.announcement.service == Some(service)
             && self.announcement.state == state
-            && self.health(seen) == Health::Fresh
+            && self.health(visibility) == Health::Fresh
     }
 
     /// Returns whether this is the announcement that was applied last.
-    pub(super) fn has_said(&self, word: &Announcement) -> bool {
+    pub(super) fn is_latest(&self, announcement: &Announcement) -> bool {
         let known = &self.announcement;
-        (known.incarnation, known.number) == (word.incarnation, word.number)
+        (known.incarnation, known.number) == (announcement.incarnation, announcement.number)
     }
 
     /// Returns what the agent itself last reported.
-    pub(super) const fn signs(&self) -> Signs {
-        Signs {
-            heard: self.heard,
-            load_heard: self.load_heard,
+    pub(super) const fn observation(&self) -> Observation {
+        Observation {
+            last_seen: self.last_seen,
+            load_received_at: self.load_received_at,
             load: self.load,
             placed_since: self.placed_since,
         }
     }
 
     /// Restores what the agent itself reported, if that is later than a summary.
-    pub(super) fn keep(&mut self, signs: Signs) {
-        self.heard = self.heard.max(signs.heard);
-        self.load_heard = signs.load_heard;
-        self.load = signs.load;
-        self.placed_since = signs.placed_since;
+    pub(super) fn restore(&mut self, observation: Observation) {
+        self.last_seen = self.last_seen.max(observation.last_seen);
+        self.load_received_at = observation.load_received_at;
+        self.load = observation.load;
+        self.placed_since = observation.placed_since;
     }
 
     pub(super) fn report(&self, now: Time, agent: Ipv4Addr, services: &mut Vec<Service>) -> Report {
-        let word = &self.announcement;
-        let place = word.service.map(|service| place_of(service, services));
+        let announcement = &self.announcement;
+        let index = announcement.service.map(|service| index_of(service, services));
         Report {
             agent,
-            age_ms: u32::try_from(now.since(self.heard)).unwrap_or(u32::MAX),
-            incarnation: word.incarnation,
-            number: word.number,
-            service: place.and_then(|place| u8::try_from(place).ok()),
-            slots: word.slots,
-            cold: word.cold,
-            room: word.room,
-            state: word.state,
+            age_ms: u32::try_from(now.since(self.last_seen)).unwrap_or(u32::MAX),
+            incarnation: announcement.incarnation,
+            number: announcement.number,
+            service: index.and_then(|index| u8::try_from(index).ok()),
+            slots: announcement.slots,
+            cold: announcement.cold,
+            room: announcement.room,
+            state: announcement.state,
             load: self.load,
         }
     }
 
     /// Returns whether its cold backend server can accept no more openings for now.
-    pub(super) fn is_full(&self) -> bool {
+    pub(super) fn is_room_exhausted(&self) -> bool {
         self.announcement.room == Some(0)
     }
 
     pub(super) const fn choice(&self, now: Time, agent: Ipv4Addr) -> Choice {
-        Choice { agent, load: self.load, age_ms: now.since(self.load_heard) }
+        Choice { agent, load: self.load, age_ms: now.since(self.load_received_at) }
     }
 
     /// Returns the figures that its room is computed from.
     ///
     /// The free slots of a slow server are bounded according to its speed. It has few flows and
     /// thus many free slots on purpose; under overload, openings would otherwise fill them.
-    pub(super) fn known(&self, now: Time) -> Occupancy {
+    pub(super) fn occupancy(&self, now: Time) -> Occupancy {
         let slots = self.announcement.slots;
         let while_cold = u64::from(slots) * COLD_PERCENT / 100;
         let while_cold = u16::try_from(while_cold).unwrap_or(slots).max(1);
@@ -204,13 +210,13 @@
             busy: self.load.busy,
             placed: self.placed_since,
             service_ms: self.load.service_ms,
-            age_ms: now.since(self.load_heard),
-            bound: [self.announcement.room, self.room_while_slow()].into_iter().flatten().min(),
+            age_ms: now.since(self.load_received_at),
+            bound: [self.announcement.room, self.slow_bound()].into_iter().flatten().min(),
         }
     }
 
     /// Returns how many openings it may get while it is slow; `None` if it is not slow.
-    fn room_while_slow(&self) -> Option<u32> {
+    fn slow_bound(&self) -> Option<u32> {
         let percent = u32::try_from(self.slowness?.percent()).unwrap_or(u32::MAX);
         let slots = u32::from(self.announcement.slots).saturating_mul(percent) / 100;
         let taken = u32::from(self.load.busy) + u32::from(self.placed_since);
@@ -218,7 +224,7 @@
     }
 
     /// Counts an opening that was sent to the agent, also against the room of a cold server.
-    pub(super) fn give(&mut self) {
+    pub(super) fn record_placed(&mut self) {
         self.placed_since = self.placed_since.saturating_add(1);
         if let Some(room) = &mut self.announcement.room {
             *room = room.saturating_sub(1);
@@ -261,31 +267,31 @@
         let slots = self.capacity();
         let busy = u64::from(self.load.busy) + u64::from(self.placed_since) + 1;
         let flows = u64::from(self.flows()) + u64::from(self.placed_since);
-        let flows = flows.max(self.least_flows);
-        let far = if *self.announcement.domain == *domain { 0 } else { weights.far };
-        (busy * weights.busy + flows * weights.flow) * 100 / slots + far
+        let flows = flows.max(self.min_flows);
+        let remote = if *self.announcement.domain == *domain { 0 } else { weights.remote };
+        (busy * weights.busy + flows * weights.flow) * 100 / slots + remote
     }
 }
 
 /// Data received directly from an agent, which may be later than that in a summary.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Signs {
-    heard: Time,
-    pub(super) load_heard: Time,
+pub(super) struct Observation {
+    last_seen: Time,
+    pub(super) load_received_at: Time,
     load: Load,
     placed_since: u16,
 }
 
 /// Period in which reports on an agent could be received.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Sight {
+pub(super) struct Visibility {
     pub(super) until: Time,
     /// Whether no report on the agent has arrived recently.
-    pub(super) is_blind: bool,
+    pub(super) is_interrupted: bool,
 }
 
 /// Returns the index of a service in a list, after adding it if it is new.
-fn place_of(service: Service, services: &mut Vec<Service>) -> usize {
+fn index_of(service: Service, services: &mut Vec<Service>) -> usize {
     services.iter().position(|known| *known == service).unwrap_or_else(|| {
         services.push(service);
         services.len() - 1
@@ -293,15 +299,15 @@
 }
 
 /// Returns the effect of an announcement of the known process or of one with a later start.
-fn change_by_later(known: &Announcement, word: &Announcement) -> Change {
-    if word.incarnation != known.incarnation {
+fn change_by_newer(known: &Announcement, announcement: &Announcement) -> Change {
+    if announcement.incarnation != known.incarnation {
         return Change::Appeared;
     }
-    if word.number < known.number {
+    if announcement.number < known.number {
         return Change::Stale;
     }
-    let opens = |word: &Announcement| word.state == State::Ready;
-    match (opens(known), opens(word)) {
+    let is_ready = |announcement: &Announcement| announcement.state == State::Ready;
+    match (is_ready(known), is_ready(announcement)) {
         (false, true) => Change::Opened,
         (true, false) => Change::Closed,
         _ => Change::None,
--- a/crates/nutmegkeel_core/src/l4/placement/evenness.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/evenness.rs
@@ -32,7 +32,7 @@
     fn evenness_of(&self, now: Time, service: Service) -> Evenness {
         let mut evenness = Evenness::default();
         let mut servers = 0;
-        for (_, candidate) in self.takers_of(now, service) {
+        for (_, candidate) in self.ready_members(now, service) {
             let utilization = candidate.utilization();
             servers += 1;
             evenness.mean += utilization;
@@ -51,28 +51,28 @@
     /// next report, and the first requests of these flows would queue there. With it, the server is
     /// preferred only while it has fewer requests in progress than its peers by that margin. Slow
     /// servers are exempt, because they are meant to have few flows.
-    pub(super) fn set_least_flows(&mut self, now: Time, service: Service) {
+    pub(super) fn set_min_flows(&mut self, now: Time, service: Service) {
         let (mut flows, mut slots) = (0, 0);
-        for (_, candidate) in self.takers_of(now, service) {
+        for (_, candidate) in self.ready_members(now, service) {
             flows += u64::from(candidate.flows());
             slots += u64::from(candidate.announcement.slots);
         }
         let members: Vec<Ipv4Addr> = self.members(Some(service)).map(|(agent, _)| agent).collect();
-        self.mark(&members, |candidate| {
+        self.update(&members, |candidate| {
             let own_slots = u64::from(candidate.announcement.slots);
-            let as_peers = flows * own_slots / slots.max(1);
-            let least = as_peers.saturating_sub(own_slots);
-            candidate.least_flows = if candidate.slowness.is_some() { 0 } else { least };
+            let peer_flows = flows * own_slots / slots.max(1);
+            let minimum = peer_flows.saturating_sub(own_slots);
+            candidate.min_flows = if candidate.slowness.is_some() { 0 } else { minimum };
         });
     }
 
-    fn takers_of(
+    fn ready_members(
         &self,
         now: Time,
         service: Service,
     ) -> impl Iterator<Item = (Ipv4Addr, &Candidate)> {
         let members = self.members(Some(service));
-        members.filter(move |(_, one)| self.is_in(now, one, service, State::Ready))
+        members.filter(move |(_, one)| self.is_eligible(now, one, service, State::Ready))
     }
 }
 
--- a/crates/nutmegkeel_core/src/l4/placement/free.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/free.rs
@@ -40,18 +40,20 @@
         let weights = Weights::of(need.kind);
         let pressure = |candidate: &Candidate| candidate.pressure(weights, need.domain);
         let bound = self.agents.get(&choice.agent).map_or(u64::MAX, pressure);
-        let takers = self.takers(now, need.service);
+        let eligible_state = self.eligible_state(now, need.service);
         let ranked = self
             .members(Some(need.service))
             .filter(|(agent, candidate)| {
-                candidate.known(now).free() > 0
+                candidate.occupancy(now).free() > 0
                     && !need.tried.contains(agent)
-                    && self.takes(now, candidate, need, takers)
+                    && self.accepts(now, candidate, need, eligible_state)
             })
             .map(|(agent, candidate)| {
                 (Ranked::of(need.key, agent, candidate, need.domain), candidate)
             })
-            .filter(|(ranked, candidate)| ranked.near || !is_large || pressure(candidate) < bound);
+            .filter(|(ranked, candidate)| {
+                ranked.is_local || !is_large || pressure(candidate) < bound
+            });
         let free = ranked.max_by_key(|(ranked, _)| *ranked);
         Some(free.map_or(choice, |(ranked, candidate)| candidate.choice(now, ranked.agent)))
     }
@@ -59,21 +61,21 @@
     /// Returns whether an agent's backend server is known to have a free slot.
     #[must_use]
     pub fn is_free(&self, now: Time, agent: Ipv4Addr) -> bool {
-        self.agents.get(&agent).is_some_and(|candidate| candidate.known(now).free() > 0)
+        self.agents.get(&agent).is_some_and(|candidate| candidate.occupancy(now).free() > 0)
     }
 
     /// Estimates the earliest answer to a flow's request from the last report of each agent.
     #[must_use]
     pub fn earliest_answer(&self, now: Time, need: &Need, rank: Rank) -> EarliestAnswer {
-        let takers = self.takers(now, need.service);
+        let eligible_state = self.eligible_state(now, need.service);
         let members = self.members(Some(need.service));
-        let asked = members.filter(|(agent, candidate)| {
-            !need.tried.contains(agent) && self.takes(now, candidate, need, takers)
+        let accepting = members.filter(|(agent, candidate)| {
+            !need.tried.contains(agent) && self.accepts(now, candidate, need, eligible_state)
         });
         let start = EarliestAnswer { servers: 0, least_ms: u64::MAX };
-        asked.fold(start, |soonest, (_, candidate)| EarliestAnswer {
-            servers: soonest.servers + 1,
-            least_ms: soonest.least_ms.min(candidate.known(now).least_ms(rank)),
+        accepting.fold(start, |earliest, (_, candidate)| EarliestAnswer {
+            servers: earliest.servers + 1,
+            least_ms: earliest.least_ms.min(candidate.occupancy(now).least_ms(rank)),
         })
     }
 
@@ -83,32 +85,39 @@
     pub fn rooms(&self, now: Time) -> BTreeMap<(Service, Arc<str>), Room> {
         let mut rooms: BTreeMap<_, Room> = BTreeMap::new();
         for service in self.members.keys().copied().flatten() {
-            let takers = self.takers(now, service);
+            let eligible_state = self.eligible_state(now, service);
             for (_, candidate) in self.members(Some(service)) {
                 let domain = Arc::clone(&candidate.announcement.domain);
                 let room = rooms.entry((service, domain)).or_default();
-                if self.takes_any(now, candidate, service, takers) {
-                    room.add(&candidate.known(now));
+                if self.accepts_service(now, candidate, service, eligible_state) {
+                    room.add(&candidate.occupancy(now));
                 }
             }
         }
         rooms
     }
 
-    /// Returns whether an agent accepts a new flow, where `takers` is the state that gets the flows
+    /// Returns whether an agent accepts a new flow, where `eligible_state` is the state that gets the flows
     /// of the service.
-    pub(super) fn takes(
+    pub(super) fn accepts(
         &self,
         now: Time,
         candidate: &Candidate,
         need: &Need,
-        takers: State,
+        eligible_state: State,
     ) -> bool {
-        self.takes_any(now, candidate, need.service, takers) && self.is_allowed(candidate, need)
+        self.accepts_service(now, candidate, need.service, eligible_state)
+            && self.is_allowed(candidate, need)
     }
 
-    fn takes_any(&self, now: Time, one: &Candidate, service: Service, takers: State) -> bool {
-        let is_in = |state| self.is_in(now, one, service, state);
-        is_in(State::Ready) || is_in(takers)
+    fn accepts_service(
+        &self,
+        now: Time,
+        one: &Candidate,
+        service: Service,
+        eligible_state: State,
+    ) -> bool {
+        let is_eligible = |state| self.is_eligible(now, one, service, state);
+        is_eligible(State::Ready) || is_eligible(eligible_state)
     }
 }
--- a/crates/nutmegkeel_core/src/l4/placement/inheritance.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/inheritance.rs
@@ -14,7 +14,7 @@
 
 /// Time after which a new process knows all flows that matter, in milliseconds. A long flow sends a
 /// request every few seconds, and most of the others have ended by then.
-const KNOWN_AFTER_MS: u64 = 8_000;
+const LEARNING_MS: u64 = 8_000;
 
 /// Flows left by a process to its successor.
 #[derive(Clone, Copy, Debug)]
@@ -31,21 +31,21 @@
     pub(super) fn next(
         now: Time,
         known: &Candidate,
-        word: &Announcement,
+        announcement: &Announcement,
         change: Change,
     ) -> Option<Self> {
         let inherited = if change == Change::Appeared {
-            Self::left_by(now, known)
+            Self::from_restarting(now, known)
         } else {
-            known.inherited.filter(|inherited| now.since(inherited.since) < KNOWN_AFTER_MS)
+            known.inherited.filter(|inherited| now.since(inherited.since) < LEARNING_MS)
         };
-        let goes_on = |service| word.service.is_none_or(|present| present == service);
-        inherited.filter(|inherited| goes_on(inherited.service))
+        let is_unchanged = |service| announcement.service.is_none_or(|present| present == service);
+        inherited.filter(|inherited| is_unchanged(inherited.service))
     }
 
-    fn left_by(now: Time, known: &Candidate) -> Option<Self> {
-        let restarts =
-            known.announcement.state == State::Restarting && now.since(known.heard) <= RESTART_MS;
+    fn from_restarting(now: Time, known: &Candidate) -> Option<Self> {
+        let restarts = known.announcement.state == State::Restarting
+            && now.since(known.last_seen) <= RESTART_MS;
         let service = known.announcement.service.filter(|_| restarts)?;
         Some(Self { service, flows: known.flows(), since: now })
     }
@@ -53,8 +53,8 @@
     /// Returns the number of flows that the new process does not know yet when it reports this
     /// many. The number is bounded by a limit that falls to zero with time, because flows end.
     pub(super) fn missing(self, now: Time, reported: u16) -> u16 {
-        let left_ms = KNOWN_AFTER_MS.saturating_sub(now.since(self.since));
-        let left = u64::from(self.flows) * left_ms / KNOWN_AFTER_MS;
+        let left_ms = LEARNING_MS.saturating_sub(now.since(self.since));
+        let left = u64::from(self.flows) * left_ms / LEARNING_MS;
         let left = u16::try_from(left).unwrap_or(u16::MAX);
         self.flows.saturating_sub(reported).min(left)
     }
--- a/crates/nutmegkeel_core/src/l4/placement/signs.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/liveness.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use super::Pool;
-use super::candidate::{Candidate, Sight};
+use super::candidate::{Candidate, Visibility};
 use crate::clock::Time;
 use crate::l4::health::{FORGET_MS, Health, LOST_MS, OUT_OF_SIGHT_MS};
 use crate::l4::message::Load;
@@ -13,7 +13,7 @@
 /// Number of announcements up to which an agent counts as recently started. It corresponds to one
 /// to three seconds, because the number also advances with each tick while a balancer has not
 /// answered.
-const YOUNG: u64 = 10;
+const RECENT_START_TICKS: u64 = 10;
 
 impl Pool {
     /// Returns until when reports on an agent could be received. An agent in another failure domain
@@ -23,30 +23,32 @@
     /// An agent is thus judged by its own silence only. It is not declared dead, and its flows are
     /// not reset, because the balancers that report on it are gone, or have just restarted and omit
     /// some agents.
-    pub(super) fn sight(&self, now: Time, candidate: &Candidate) -> Sight {
+    pub(super) fn visibility(&self, now: Time, candidate: &Candidate) -> Visibility {
         let own = self.domain.as_ref();
         if own.is_none_or(|own| *own == candidate.announcement.domain) {
-            return Sight { until: now, is_blind: false };
+            return Visibility { until: now, is_interrupted: false };
         }
-        let until = candidate.heard.max(candidate.seen);
+        let until = candidate.last_seen.max(candidate.reported_at);
         match now.since(until) {
-            0..=OUT_OF_SIGHT_MS => Sight { until, is_blind: false },
-            blind_ms if blind_ms <= LOST_MS => Sight { until, is_blind: true },
-            _ => Sight { until: now, is_blind: false },
+            0..=OUT_OF_SIGHT_MS => Visibility { until, is_interrupted: false },
+            interrupted_ms if interrupted_ms <= LOST_MS => {
+                Visibility { until, is_interrupted: true }
+            }
+            _ => Visibility { until: now, is_interrupted: false },
         }
     }
 
     pub(super) fn health_of(&self, now: Time, candidate: &Candidate) -> Health {
-        candidate.health(self.sight(now, candidate))
+        candidate.health(self.visibility(now, candidate))
     }
 
     /// Applies the load that an agent sent with an answer.
     pub fn load_received(&mut self, now: Time, from: Ipv4Addr, load: Load) {
         if let Some(candidate) = self.agents.get_mut(&from) {
-            candidate.heard = now;
-            candidate.noticed = false;
-            candidate.noticed_late = false;
-            candidate.load_heard = now;
+            candidate.last_seen = now;
+            candidate.is_silence_reported = false;
+            candidate.is_lateness_reported = false;
+            candidate.load_received_at = now;
             candidate.load = load;
             candidate.placed_since = 0;
             candidate.count_missing(now);
@@ -56,10 +58,10 @@
     /// Returns the agents that became silent without notice since the last call.
     pub fn newly_silent(&mut self, now: Time) -> Vec<Ipv4Addr> {
         let is_new = |candidate: &Candidate| {
-            !candidate.noticed && self.health_of(now, candidate) == Health::Silent
+            !candidate.is_silence_reported && self.health_of(now, candidate) == Health::Silent
         };
-        let silent = self.find(is_new);
-        self.mark(&silent, |candidate| candidate.noticed = true);
+        let silent = self.find_agents(is_new);
+        self.update(&silent, |candidate| candidate.is_silence_reported = true);
         silent
     }
 
@@ -69,21 +71,21 @@
         self.agents.get(&agent).map(|candidate| self.health_of(now, candidate))
     }
 
-    pub(super) fn lately_heard(&self, now: Time) -> impl Iterator<Item = &Candidate> {
+    pub(super) fn recently_seen(&self, now: Time) -> impl Iterator<Item = &Candidate> {
         self.agents.values().filter(move |one| self.health_of(now, one) <= Health::Late)
     }
 
     /// Returns the number of agents seen recently.
     #[must_use]
     pub fn recently_seen_count(&self, now: Time) -> usize {
-        self.lately_heard(now).count()
+        self.recently_seen(now).count()
     }
 
     /// Returns the number of agents seen recently, by failure domain.
     #[must_use]
     pub fn domains(&self, now: Time) -> BTreeMap<Arc<str>, usize> {
         let mut domains = BTreeMap::new();
-        for one in self.lately_heard(now) {
+        for one in self.recently_seen(now) {
             *domains.entry(Arc::clone(&one.announcement.domain)).or_default() += 1;
         }
         domains
@@ -103,8 +105,8 @@
     #[must_use]
     pub fn is_conclusive(&self, now: Time) -> bool {
         let undecided = |candidate: &Candidate| {
-            let seen = self.sight(now, candidate);
-            candidate.may_hold(seen) && candidate.health(seen) != Health::Fresh
+            let visibility = self.visibility(now, candidate);
+            candidate.may_hold(visibility) && candidate.health(visibility) != Health::Fresh
         };
         !self.is_cut_off(now) && !self.agents.values().any(undecided)
     }
@@ -112,18 +114,18 @@
     /// Returns whether all known agents have started recently, as after a power failure.
     #[must_use]
     pub fn is_recently_started(&self) -> bool {
-        self.agents.values().all(|candidate| candidate.announcement.number <= YOUNG)
+        self.agents.values().all(|candidate| candidate.announcement.number <= RECENT_START_TICKS)
     }
 
     /// Returns whether an agent may hold flows.
     #[must_use]
     pub fn may_hold(&self, now: Time, agent: Ipv4Addr) -> bool {
-        self.agents.get(&agent).is_some_and(|one| one.may_hold(self.sight(now, one)))
+        self.agents.get(&agent).is_some_and(|one| one.may_hold(self.visibility(now, one)))
     }
 
     /// Forgets agents that have been silent for longer than any flow lives.
     pub fn forget(&mut self, now: Time) {
-        let gone = self.find(|candidate| now.since(candidate.heard) >= FORGET_MS);
+        let gone = self.find_agents(|candidate| now.since(candidate.last_seen) >= FORGET_MS);
         gone.into_iter().for_each(|agent| self.remove(agent));
     }
 
@@ -131,8 +133,8 @@
     /// nothing.
     pub fn extend_timeouts(&mut self, span_ms: u64) {
         for candidate in self.agents.values_mut() {
-            candidate.heard = candidate.heard.after(span_ms);
-            candidate.seen = candidate.seen.after(span_ms);
+            candidate.last_seen = candidate.last_seen.after(span_ms);
+            candidate.reported_at = candidate.reported_at.after(span_ms);
         }
     }
 }
--- a/crates/nutmegkeel_core/src/l4/placement/order.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/order.rs
@@ -12,10 +12,10 @@
 
 /// Number of agents in the client's failure domain that a new flow chooses from. With two, one
 /// choice in four is bad at 80% load; with more, a search asks more agents before the right one.
-const NEAR: usize = 3;
+const LOCAL_CANDIDATES: usize = 3;
 
 /// Number of agents in other failure domains that a new flow also chooses from.
-const FAR: usize = 2;
+const REMOTE_CANDIDATES: usize = 2;
 
 impl Pool {
     /// Chooses the agent with the lowest expected load among the first ones of the flow's order
@@ -24,10 +24,11 @@
     #[must_use]
     pub fn choose(&self, now: Time, need: &Need) -> Option<Choice> {
         let Need { key, service, domain, tried, .. } = *need;
-        let takers = self.takers(now, service);
-        let takes = |candidate: &Candidate| self.takes(now, candidate, need, takers);
-        let open = || self.members(Some(service)).filter(|(_, candidate)| takes(candidate));
-        let ranked = open().map(|(agent, candidate)| Ranked::of(key, agent, candidate, domain));
+        let eligible_state = self.eligible_state(now, service);
+        let accepts = |candidate: &Candidate| self.accepts(now, candidate, need, eligible_state);
+        let accepting = || self.members(Some(service)).filter(|(_, candidate)| accepts(candidate));
+        let ranked =
+            accepting().map(|(agent, candidate)| Ranked::of(key, agent, candidate, domain));
         let weights = Weights::of(need.kind);
         let pressure = |candidate: &Candidate| {
             candidate.pressure(weights, domain) + self.surcharge(service, candidate)
@@ -36,13 +37,13 @@
         let first = first_of(ranked).into_iter().filter(untried);
         let first = first.filter_map(|agent| Some((agent, self.agents.get(&agent)?)));
         // Of equal loads the first in the order is taken, so that all balancers agree.
-        let first = first.filter(|(_, candidate)| !candidate.is_full());
+        let first = first.filter(|(_, candidate)| !candidate.is_room_exhausted());
         let first = first.min_by_key(|(_, candidate)| pressure(candidate));
         let least = |(agent, candidate): &(Ipv4Addr, &Candidate)| {
             let ranked = Ranked::of(key, *agent, candidate, domain);
-            (candidate.is_full(), pressure(candidate), Reverse(ranked))
+            (candidate.is_room_exhausted(), pressure(candidate), Reverse(ranked))
         };
-        let any = || open().filter(|(agent, _)| untried(agent)).min_by_key(least);
+        let any = || accepting().filter(|(agent, _)| untried(agent)).min_by_key(least);
         let (agent, candidate) = first.or_else(any)?;
         Some(candidate.choice(now, agent))
     }
@@ -86,30 +87,30 @@
 /// descending hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Ranked {
-    pub(super) near: bool,
+    pub(super) is_local: bool,
     weight: u64,
     pub(super) agent: Ipv4Addr,
 }
 
 impl Ranked {
     pub(super) fn of(key: Key, agent: Ipv4Addr, candidate: &Candidate, domain: &str) -> Self {
-        let near = *candidate.announcement.domain == *domain;
+        let is_local = *candidate.announcement.domain == *domain;
         let weight = mix(key.number() ^ mix(u64::from(agent.to_bits())));
-        Self { near, weight, agent }
+        Self { is_local, weight, agent }
     }
 }
 
 /// Returns the first agents in the client's failure domain, then the first in other domains.
 fn first_of(ranked: impl Iterator<Item = Ranked>) -> Vec<Ipv4Addr> {
-    let (mut near, mut far) = (Vec::new(), Vec::new());
+    let (mut local, mut remote) = (Vec::new(), Vec::new());
     for one in ranked {
-        if one.near {
-            insert_among_first(&mut near, NEAR, one);
+        if one.is_local {
+            insert_among_first(&mut local, LOCAL_CANDIDATES, one);
         } else {
-            insert_among_first(&mut far, FAR, one);
+            insert_among_first(&mut remote, REMOTE_CANDIDATES, one);
         }
     }
-    near.into_iter().chain(far).map(|one| one.agent).collect()
+    local.into_iter().chain(remote).map(|one| one.agent).collect()
 }
 
 /// Inserts into a descending list that keeps its first `most` entries.
--- a/crates/nutmegkeel_core/src/l4/placement/uneven.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/uneven.rs
@@ -27,29 +27,29 @@
 /// Service time below which a slow server no longer counts as slow, in percent of its peers'. The
 /// distance from [`SLOW_PERCENT`] keeps a time that varies about one bound from changing the result
 /// with each report.
-const USUAL_PERCENT: u64 = 140;
+const RECOVERED_PERCENT: u64 = 140;
 
 /// Difference to the peers' service time up to which a server is not slow, in milliseconds. A
 /// multiple of a time of few milliseconds, reported in whole milliseconds, is not significant.
-const SLACK_MS: u64 = 5;
+const TOLERANCE_MS: u64 = 5;
 
 /// Minimum share of its slots that a slow server counts for, in percent. It needs some requests to
 /// show that it has recovered.
-const LEAST_PERCENT: u64 = 12;
+const MIN_PERCENT: u64 = 12;
 
 /// Minimum number of servers of a service for a comparison. With two, it is unknown which one is
 /// slow.
-const FEWEST: usize = 3;
+const MIN_SERVERS: usize = 3;
 
 /// One in this many servers may count as slow. The others must be able to take its load.
-const ONE_IN: usize = 3;
+const SERVERS_PER_SLOW: usize = 3;
 
 /// Age from which a load is too old for a comparison, in milliseconds.
 const STALE_MS: u64 = OUT_OF_SIGHT_MS;
 
 /// Weight of a server that already counts as slow, in percent. It keeps two servers from
 /// alternating in the last place that the limit on slow servers allows.
-const STAY_PERCENT: u64 = 150;
+const HYSTERESIS_PERCENT: u64 = 150;
 
 /// Service time of a server and that of its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
     /// proportionally less time for waiting within an objective.
     pub(super) fn percent(self) -> u64 {
         let speed = 100 * u64::from(self.usual_ms) / u64::from(self.service_ms).max(1);
-        (speed * speed / 100).clamp(LEAST_PERCENT, 100)
+        (speed * speed / 100).clamp(MIN_PERCENT, 100)
     }
 }
 
@@ -89,7 +89,7 @@
         let mut verdicts = Vec::new();
         for service in services {
             verdicts.extend(self.compare(now, service));
-            self.set_least_flows(now, service);
+            self.set_min_flows(now, service);
         }
         verdicts
     }
@@ -97,9 +97,9 @@
     fn compare(&mut self, now: Time, service: Service) -> Vec<Verdict> {
         let usual_ms = self.usual_ms(now, service);
         let slow = match usual_ms {
-            Some(usual_ms) => self.slow_ones(now, service, usual_ms),
+            Some(usual_ms) => self.slowest(now, service, usual_ms),
             // Enough other servers are present but have no recent report: that clears none.
-            None if self.known(now, service).count() >= FEWEST => return Vec::new(),
+            None if self.present_members(now, service).count() >= MIN_SERVERS => return Vec::new(),
             None => Vec::new(),
         };
         let members: Vec<Ipv4Addr> = self.members(Some(service)).map(|(agent, _)| agent).collect();
@@ -107,7 +107,7 @@
         for agent in members {
             let Some(candidate) = self.agents.get_mut(&agent) else { continue };
             let (was_slow, is_slow) = (candidate.slowness.is_some(), slow.contains(&agent));
-            let times = candidate.compared(now).zip(usual_ms);
+            let times = candidate.comparable_ms(now).zip(usual_ms);
             let times = times.map(|(service_ms, usual_ms)| Slowness { service_ms, usual_ms });
             let times = times.or(candidate.slowness);
             candidate.slowness = times.filter(|_| is_slow);
@@ -121,8 +121,8 @@
     /// Returns the median service time of a service's servers; `None` if there are too few.
     fn usual_ms(&self, now: Time, service: Service) -> Option<u16> {
         let members = self.members(Some(service));
-        let mut times: Vec<u16> = members.filter_map(|(_, one)| one.compared(now)).collect();
-        if times.len() < FEWEST {
+        let mut times: Vec<u16> = members.filter_map(|(_, one)| one.comparable_ms(now)).collect();
+        if times.len() < MIN_SERVERS {
             return None;
         }
         times.sort_unstable();
@@ -131,19 +131,23 @@
 
     /// Returns the agents of the servers that count as slow: the slowest first, limited to what the
     /// others can take over.
-    fn slow_ones(&self, now: Time, service: Service, usual_ms: u16) -> Vec<Ipv4Addr> {
-        let most = self.known(now, service).count() / ONE_IN;
+    fn slowest(&self, now: Time, service: Service, usual_ms: u16) -> Vec<Ipv4Addr> {
+        let max_slow = self.present_members(now, service).count() / SERVERS_PER_SLOW;
         let mut slow: Vec<_> = self
-            .known(now, service)
-            .filter_map(|(agent, one)| Some((Reverse(one.weight_as_slow(now, usual_ms)?), agent)))
+            .present_members(now, service)
+            .filter_map(|(agent, one)| Some((Reverse(one.slow_weight(now, usual_ms)?), agent)))
             .collect();
         slow.sort_unstable();
-        slow.truncate(most);
+        slow.truncate(max_slow);
         slow.into_iter().map(|(_, agent)| agent).collect()
     }
 
     /// Returns the agents of a service that are not silent.
-    fn known(&self, now: Time, service: Service) -> impl Iterator<Item = (Ipv4Addr, &Candidate)> {
+    fn present_members(
+        &self,
+        now: Time,
+        service: Service,
+    ) -> impl Iterator<Item = (Ipv4Addr, &Candidate)> {
         let members = self.members(Some(service));
         members.filter(move |(_, one)| self.health_of(now, one) < Health::Silent)
     }
@@ -160,8 +164,8 @@
     /// Returns the service time to compare with that of its peers; `None` without a recent one, or
     /// while the server is cold, which does not count as slow. An implausible time is ignored, so
     /// that it neither attracts flows nor keeps them from a server.
-    fn compared(&self, now: Time) -> Option<u16> {
-        let is_fresh = now.since(self.load_heard) <= STALE_MS;
+    fn comparable_ms(&self, now: Time) -> Option<u16> {
+        let is_fresh = now.since(self.load_received_at) <= STALE_MS;
         let service_ms = self.load.service_ms;
         let is_known = service_ms > 0 && u64::from(service_ms) <= LONGEST_MS;
         (is_fresh && is_known && !self.announcement.cold).then_some(service_ms)
@@ -169,20 +173,20 @@
 
     /// Returns the weight of a server that is slow enough to count as such; a higher weight takes
     /// precedence. Without a recent report the server stays what it was.
-    fn weight_as_slow(&self, now: Time, usual_ms: u16) -> Option<u64> {
+    fn slow_weight(&self, now: Time, usual_ms: u16) -> Option<u64> {
         let Some(known) = self.slowness else {
-            let service_ms = u64::from(self.compared(now)?);
-            return is_beyond(service_ms, usual_ms, SLOW_PERCENT).then_some(service_ms * 100);
+            let service_ms = u64::from(self.comparable_ms(now)?);
+            return exceeds(service_ms, usual_ms, SLOW_PERCENT).then_some(service_ms * 100);
         };
-        let is_stale = now.since(self.load_heard) > STALE_MS;
-        let told = if is_stale { Some(known.service_ms) } else { self.compared(now) };
-        let service_ms = u64::from(told?);
-        let stays = is_stale || is_beyond(service_ms, usual_ms, USUAL_PERCENT);
-        stays.then_some(service_ms * STAY_PERCENT)
+        let is_stale = now.since(self.load_received_at) > STALE_MS;
+        let last_ms = if is_stale { Some(known.service_ms) } else { self.comparable_ms(now) };
+        let service_ms = u64::from(last_ms?);
+        let stays = is_stale || exceeds(service_ms, usual_ms, RECOVERED_PERCENT);
+        stays.then_some(service_ms * HYSTERESIS_PERCENT)
     }
 }
 
-fn is_beyond(service_ms: u64, usual_ms: u16, percent: u64) -> bool {
+fn exceeds(service_ms: u64, usual_ms: u16, percent: u64) -> bool {
     let usual_ms = u64::from(usual_ms);
-    service_ms * 100 >= usual_ms * percent && service_ms > usual_ms + SLACK_MS
+    service_ms * 100 >= usual_ms * percent && service_ms > usual_ms + TOLERANCE_MS
 }
--- a/crates/nutmegkeel_core/src/l4/room.rs
+++ b/crates/nutmegkeel_core/src/l4/room.rs
@@ -18,7 +18,7 @@
 pub const MAX_REPORT_AGE_MS: u64 = ANNOUNCE_MS + SUMMARY_MS + 100;
 
 /// Longest plausible service time, in milliseconds. No request has a longer deadline.
-const LONGEST_SERVICE_MS: u64 = 10_000;
+const MAX_SERVICE_MS: u64 = 10_000;
 
 /// Last reported state of one backend server that may accept a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -100,7 +100,7 @@
     /// otherwise cause all openings to be refused.
     fn service_ms(&self) -> Option<u64> {
         let service_ms = u64::from(self.service_ms);
-        (1..=LONGEST_SERVICE_MS).contains(&service_ms).then_some(service_ms)
+        (1..=MAX_SERVICE_MS).contains(&service_ms).then_some(service_ms)
     }
 }
 
@@ -120,12 +120,12 @@
 
 impl Room {
     /// Adds a server.
-    pub fn add(&mut self, known: &Occupancy) {
+    pub fn add(&mut self, occupancy: &Occupancy) {
         self.servers += 1;
-        self.doubtful += u32::from(!known.is_recent());
-        self.slots += u32::from(known.slots);
-        self.free += known.free();
-        self.backlog_ms += known.backlog_ms();
+        self.doubtful += u32::from(!occupancy.is_recent());
+        self.slots += u32::from(occupancy.slots);
+        self.free += occupancy.free();
+        self.backlog_ms += occupancy.backlog_ms();
     }
 
     /// Returns the expected time until a slot becomes free for one more request in first-come,
--- a/crates/nutmegkeel_core/src/l4/room/congestion.rs
+++ b/crates/nutmegkeel_core/src/l4/room/congestion.rs
@@ -13,10 +13,10 @@
 
 /// Duration after which balancers no longer ask for free slots, in milliseconds. Each report has
 /// been renewed by then.
-const CERTAIN_MS: u64 = MAX_REPORT_AGE_MS;
+const CONFIRMED_MS: u64 = MAX_REPORT_AGE_MS;
 
 /// Time without a further observation after which a congestion is over, in milliseconds.
-const OVER_MS: u64 = 1_000;
+const EPISODE_GAP_MS: u64 = 1_000;
 
 /// Reason to refuse an opening: no backend server can answer it in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -32,48 +32,50 @@
 }
 
 /// Flows of a route at one of its services.
-type Place = (SocketAddrV4, Service);
+type Scope = (SocketAddrV4, Service);
 
 /// A period in which no free slot was known.
 #[derive(Clone, Copy, Debug)]
-struct Crowd {
+struct Episode {
     since: Time,
-    seen: Time,
+    last_full: Time,
 }
 
 /// Periods without a known free slot, by route and service.
 #[derive(Clone, Debug, Default)]
 pub struct Congestion {
-    crowds: BTreeMap<Place, Crowd>,
+    episodes: BTreeMap<Scope, Episode>,
 }
 
 impl Congestion {
     /// Records that no free slot is known. Returns how long this has lasted, in milliseconds.
-    pub fn record_full(&mut self, now: Time, place: Place) -> u64 {
-        let crowd = self.crowds.entry(place).or_insert(Crowd { since: now, seen: now });
-        if now.since(crowd.seen) > OVER_MS {
-            crowd.since = now;
+    pub fn record_full(&mut self, now: Time, scope: Scope) -> u64 {
+        let episode = self.episodes.entry(scope).or_insert(Episode { since: now, last_full: now });
+        if now.since(episode.last_full) > EPISODE_GAP_MS {
+            episode.since = now;
         }
-        crowd.seen = now;
-        now.since(crowd.since)
+        episode.last_full = now;
+        now.since(episode.since)
     }
 
     /// Returns whether the period without a free slot has lasted so long that there is no point in
     /// asking for one.
     #[must_use]
-    pub fn is_confirmed(&self, now: Time, place: Place) -> bool {
-        let is_certain =
-            |crowd: &Crowd| now.since(crowd.since) > CERTAIN_MS && now.since(crowd.seen) <= OVER_MS;
-        self.crowds.get(&place).is_some_and(is_certain)
+    pub fn is_confirmed(&self, now: Time, scope: Scope) -> bool {
+        let is_confirmed = |episode: &Episode| {
+            now.since(episode.since) > CONFIRMED_MS
+                && now.since(episode.last_full) <= EPISODE_GAP_MS
+        };
+        self.episodes.get(&scope).is_some_and(is_confirmed)
     }
 
     /// Records that a free slot is known.
-    pub fn record_free(&mut self, place: Place) {
-        self.crowds.remove(&place);
+    pub fn record_free(&mut self, scope: Scope) {
+        self.episodes.remove(&scope);
     }
 
     /// Forgets periods that are over.
     pub fn expire(&mut self, now: Time) {
-        self.crowds.retain(|_, crowd| now.since(crowd.seen) <= OVER_MS);
+        self.episodes.retain(|_, episode| now.since(episode.last_full) <= EPISODE_GAP_MS);
     }
 }
--- a/crates/nutmegkeel_core/src/l4/room/retries.rs
+++ b/crates/nutmegkeel_core/src/l4/room/retries.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Refusals {
     count: u16,
-    last: Time,
+    last_at: Time,
 }
 
 /// Callers that were refused recently. Each refusal counts for one retry only, so that a caller
@@ -38,14 +38,14 @@
         let caller = caller(flow);
         let known = self.callers.get(&caller).copied();
         if let Some(known) = known {
-            self.by_age.remove(&(known.last, caller));
+            self.by_age.remove(&(known.last_at, caller));
         } else if self.callers.len() >= MAX_CALLERS
             && let Some((_, oldest)) = self.by_age.pop_first()
         {
             self.callers.remove(&oldest);
         }
         let count = known.map_or(0, |known| known.count).saturating_add(1);
-        self.callers.insert(caller, Refusals { count, last: now });
+        self.callers.insert(caller, Refusals { count, last_at: now });
         self.by_age.insert((now, caller));
     }
 
@@ -58,17 +58,17 @@
         };
         known.count -= 1;
         if known.count == 0 {
-            let last = known.last;
+            let last_at = known.last_at;
             self.callers.remove(&caller);
-            self.by_age.remove(&(last, caller));
+            self.by_age.remove(&(last_at, caller));
         }
         true
     }
 
     /// Forgets callers that have not retried in time.
     pub fn expire(&mut self, now: Time) {
-        while let Some((last, caller)) = self.by_age.first().copied()
-            && now.since(last) > RETENTION_MS
+        while let Some((last_at, caller)) = self.by_age.first().copied()
+            && now.since(last_at) > RETENTION_MS
         {
             self.by_age.pop_first();
             self.callers.remove(&caller);
