--- a/crates/nutmegkeel_core/tests/l4/balance/fleet.rs
+++ b/crates/nutmegkeel_core/tests/l4/balance/fleet.rs
@@ -16,23 +16,23 @@
 const SLOTS: usize = 3;
 const BALANCERS: usize = 6;
 const WORK_MS: u64 = 40;
-const LONG_MS: u64 = 300;
+const LONG_WORK_MS: u64 = 300;
 const LONG_PERCENT: u64 = 3;
-const GAP_MS: u64 = 2_000;
-const LIFE_MS: u64 = 8_000;
+const REQUEST_INTERVAL_MS: u64 = 2_000;
+const FLOW_LIFETIME_MS: u64 = 8_000;
 const OBJECTIVE_MS: u64 = 400;
 /// Openings of a domain's clients in each step, in thousandths. They keep 0.65 of the slots busy.
-const OPENINGS: u64 = 490;
+const OPENINGS_PER_STEP: u64 = 490;
 
 /// Mean number of requests on a long flow.
 const REQUESTS: u64 = 4;
 /// Address of the first server.
-const FIRST: u32 = 0x0a00_0100;
+const FIRST_SERVER: u32 = 0x0a00_0100;
 /// Warm-up time that the outcome leaves out.
-const SETTLED_MS: u64 = 2_000;
+const WARM_UP_MS: u64 = 2_000;
 
 /// Change of a surcharge that counts as a swing, in thousandths of a slot.
-const SWING: u64 = 400;
+const MIN_OSCILLATION: u64 = 400;
 
 /// Load of the clients, and its change during one period.
 pub(super) struct Demand {
@@ -40,14 +40,19 @@
     pub(super) until_ms: u64,
     /// Requests of the first domain's clients on their flows during the period, in thousandths of
     /// the usual number.
-    pub(super) times: u64,
+    pub(super) requests_per_mille: u64,
     /// Openings of each domain's clients during the period, in thousandths of the usual number.
-    pub(super) openings: Vec<u64>,
+    pub(super) openings_per_mille: Vec<u64>,
 }
 
 impl Demand {
     pub(super) fn even(domains: usize) -> Self {
-        Self { from_ms: 0, until_ms: 0, times: 1_000, openings: vec![1_000; domains] }
+        Self {
+            from_ms: 0,
+            until_ms: 0,
+            requests_per_mille: 1_000,
+            openings_per_mille: vec![1_000; domains],
+        }
     }
 
     fn is_changed(&self, now: u64) -> bool {
@@ -57,8 +62,8 @@
     /// Half of the clients of the last domain open their flows in the first one.
     pub(super) fn moved(domains: usize) -> Self {
         let mut moved = Self::even(domains);
-        moved.openings[0] = 1_500;
-        moved.openings[domains - 1] = 500;
+        moved.openings_per_mille[0] = 1_500;
+        moved.openings_per_mille[domains - 1] = 500;
         moved
     }
 }
@@ -66,28 +71,28 @@
 /// Outcome of a simulation.
 #[derive(Debug, Default)]
 pub(super) struct Outcome {
-    pub(super) asked: u64,
+    pub(super) requests: u64,
     pub(super) late: u64,
     /// Number of times that the surcharge of the first domain fell and rose again.
-    pub(super) swings: u64,
+    pub(super) oscillations: u64,
 }
 
-/// Counts how often a value falls and then rises again, each time by at least [`SWING`].
+/// Counts how often a value falls and then rises again, each time by at least [`MIN_OSCILLATION`].
 #[derive(Default)]
-struct Swing {
+struct Oscillation {
     count: u64,
     extreme: u64,
-    falls: bool,
+    is_falling: bool,
 }
 
-impl Swing {
-    fn note(&mut self, value: u64) {
-        let is_further = if self.falls { value < self.extreme } else { value > self.extreme };
+impl Oscillation {
+    fn observe(&mut self, value: u64) {
+        let is_further = if self.is_falling { value < self.extreme } else { value > self.extreme };
         if is_further {
             self.extreme = value;
-        } else if value.abs_diff(self.extreme) >= SWING {
-            self.count += u64::from(self.falls);
-            self.falls = !self.falls;
+        } else if value.abs_diff(self.extreme) >= MIN_OSCILLATION {
+            self.count += u64::from(self.is_falling);
+            self.is_falling = !self.is_falling;
             self.extreme = value;
         }
     }
@@ -111,14 +116,14 @@
     servers: Vec<Server>,
     pools: Vec<Pool>,
     flows: Vec<Flow>,
-    lost: Option<(usize, u64)>,
+    cut_off: Option<(usize, u64)>,
     /// Whether each flow carries one request only, with correspondingly more flows.
     is_short: bool,
-    drawn: u64,
+    draws: u64,
 }
 
 /// Returns a pseudo-random number for each number.
-pub(super) fn scatter(number: u64) -> u64 {
+pub(super) fn hash(number: u64) -> u64 {
     Key::of(&[&number.to_be_bytes()]).number()
 }
 
@@ -127,7 +132,7 @@
 }
 
 fn address(server: usize) -> Ipv4Addr {
-    Ipv4Addr::from(FIRST + u32::try_from(server).expect("few servers"))
+    Ipv4Addr::from(FIRST_SERVER + u32::try_from(server).expect("few servers"))
 }
 
 impl Fleet {
@@ -144,9 +149,9 @@
             servers: (0..domains * SERVERS).map(|_| Server::default()).collect(),
             pools: (0..domains * BALANCERS).map(open).collect(),
             flows: Vec::new(),
-            lost: None,
+            cut_off: None,
             is_short: false,
-            drawn: 0,
+            draws: 0,
         }
     }
 
@@ -154,35 +159,35 @@
         Self { is_short: true, ..Self::open(domains, is_balanced) }
     }
 
-    pub(super) fn lose(&mut self, domain: usize, at_ms: u64) {
-        self.lost = Some((domain, at_ms));
+    pub(super) fn cut_off(&mut self, domain: usize, at_ms: u64) {
+        self.cut_off = Some((domain, at_ms));
     }
 
     fn draw(&mut self, most: u64) -> u64 {
-        self.drawn += 1;
-        scatter(self.drawn) % most
+        self.draws += 1;
+        hash(self.draws) % most
     }
 
-    fn draw_place(&mut self, places: usize) -> usize {
-        let places = u64::try_from(places).expect("few places");
-        usize::try_from(self.draw(places)).expect("few places")
+    fn draw_index(&mut self, count: usize) -> usize {
+        let count = u64::try_from(count).expect("few places");
+        usize::try_from(self.draw(count)).expect("few places")
     }
 
-    fn is_lost(&self, domain: usize, now: u64) -> bool {
-        self.lost.is_some_and(|(lost, at_ms)| lost == domain && now >= at_ms)
+    fn is_cut_off(&self, domain: usize, now: u64) -> bool {
+        self.cut_off.is_some_and(|(failed, at_ms)| failed == domain && now >= at_ms)
     }
 
     /// Simulates until `end_ms`.
-    pub(super) fn play(&mut self, end_ms: u64, demand: &Demand) -> Outcome {
+    pub(super) fn simulate(&mut self, end_ms: u64, demand: &Demand) -> Outcome {
         let mut outcome = Outcome::default();
-        let mut swing = Swing::default();
+        let mut oscillation = Oscillation::default();
         for now in (0..end_ms).step_by(usize::try_from(STEP_MS).expect("the step is short")) {
             self.announce(now);
             self.open_flows(now, demand);
-            self.ask(now, demand, &mut outcome);
-            swing.note(self.surcharges_of(0).first().copied().unwrap_or(0));
+            self.send_requests(now, demand, &mut outcome);
+            oscillation.observe(self.surcharges_of(0).first().copied().unwrap_or(0));
         }
-        outcome.swings = swing.count;
+        outcome.oscillations = oscillation.count;
         outcome
     }
 
@@ -192,9 +197,9 @@
         for pool in 0..self.pools.len() {
             for server in 0..self.servers.len() {
                 let is_due = (usize_of(now) + pool * 7 + server * 11) % 30 == 0;
-                if is_due && !self.is_lost(server / SERVERS, now) {
-                    let word = self.word(now, server);
-                    self.pools[pool].announced(at(now), address(server), word);
+                if is_due && !self.is_cut_off(server / SERVERS, now) {
+                    let announcement = self.announcement(now, server);
+                    self.pools[pool].announced(at(now), address(server), announcement);
                 }
             }
             if now.is_multiple_of(50) {
@@ -203,7 +208,7 @@
         }
     }
 
-    fn word(&mut self, now: u64, server: usize) -> Announcement {
+    fn announcement(&mut self, now: u64, server: usize) -> Announcement {
         let known = &mut self.servers[server];
         known.ends.retain(|end| *end > now);
         let busy = u16::try_from(known.ends.len()).unwrap_or(u16::MAX);
@@ -216,9 +221,12 @@
     fn open_flows(&mut self, now: u64, demand: &Demand) {
         let tries = if self.is_short { REQUESTS } else { 1 };
         for domain in 0..self.domains {
-            let part = if demand.is_changed(now) { demand.openings[domain] } else { 1_000 };
+            let per_mille =
+                if demand.is_changed(now) { demand.openings_per_mille[domain] } else { 1_000 };
             for _ in 0..tries {
-                if self.draw(1_000_000) < OPENINGS * part && !self.is_lost(domain, now) {
+                if self.draw(1_000_000) < OPENINGS_PER_STEP * per_mille
+                    && !self.is_cut_off(domain, now)
+                {
                     self.open_flow(now, domain);
                 }
             }
@@ -228,31 +236,34 @@
     fn open_flow(&mut self, now: u64, domain: usize) {
         let key = Key::new(self.draw(u64::MAX));
         let kind = if self.is_short { Kind::Once } else { Kind::Idempotent };
-        let balancer = domain * BALANCERS + self.draw_place(BALANCERS);
+        let balancer = domain * BALANCERS + self.draw_index(BALANCERS);
         let (own, needs) = (name(domain), need(key, kind, &[]));
         let pool = &mut self.pools[balancer];
         let Some(choice) = pool.choose(at(now), &Need { domain: &own, ..needs }) else {
             return;
         };
         pool.placed(choice.agent);
-        let server = usize::try_from(choice.agent.to_bits() - FIRST).expect("few servers");
+        let server = usize::try_from(choice.agent.to_bits() - FIRST_SERVER).expect("few servers");
         self.servers[server].flows += 1;
-        let life_ms = if self.is_short { 0 } else { LIFE_MS / 2 + self.draw(LIFE_MS) };
+        let life_ms =
+            if self.is_short { 0 } else { FLOW_LIFETIME_MS / 2 + self.draw(FLOW_LIFETIME_MS) };
         self.flows.push(Flow { server, domain, next_ms: now, end_ms: now + life_ms });
     }
 
-    fn ask(&mut self, now: u64, demand: &Demand, outcome: &mut Outcome) {
+    fn send_requests(&mut self, now: u64, demand: &Demand, outcome: &mut Outcome) {
         let mut flows = std::mem::take(&mut self.flows);
         for flow in flows.iter_mut().filter(|flow| flow.next_ms <= now) {
-            if self.is_lost(flow.server / SERVERS, now) {
+            if self.is_cut_off(flow.server / SERVERS, now) {
                 continue;
             }
             let asks_more = demand.is_changed(now) && flow.domain == 0;
-            let times = if asks_more { demand.times } else { 1_000 };
-            flow.next_ms = now + (GAP_MS / 2 + self.draw(GAP_MS)) * 1_000 / times;
+            let requests_per_mille = if asks_more { demand.requests_per_mille } else { 1_000 };
+            flow.next_ms = now
+                + (REQUEST_INTERVAL_MS / 2 + self.draw(REQUEST_INTERVAL_MS)) * 1_000
+                    / requests_per_mille;
             let answered_ms = self.serve(now, flow.server);
-            outcome.asked += u64::from(now > SETTLED_MS);
-            outcome.late += u64::from(now > SETTLED_MS && answered_ms > OBJECTIVE_MS);
+            outcome.requests += u64::from(now > WARM_UP_MS);
+            outcome.late += u64::from(now > WARM_UP_MS && answered_ms > OBJECTIVE_MS);
         }
         let (open, ended): (Vec<_>, Vec<_>) = flows.into_iter().partition(|flow| flow.end_ms > now);
         ended.iter().for_each(|flow| self.servers[flow.server].flows -= 1);
@@ -262,7 +273,7 @@
     /// Serves a request on the slot that becomes free first. Returns the time until its answer.
     fn serve(&mut self, now: u64, server: usize) -> u64 {
         let is_long = self.draw(100) < LONG_PERCENT;
-        let mean_ms = if is_long { LONG_MS } else { WORK_MS };
+        let mean_ms = if is_long { LONG_WORK_MS } else { WORK_MS };
         let work_ms = mean_ms / 2 + self.draw(mean_ms);
         let ends = &mut self.servers[server].ends;
         ends.retain(|end| *end > now);
@@ -276,7 +287,7 @@
     /// Returns the surcharge of a domain at each balancer.
     pub(super) fn surcharges_of(&self, domain: usize) -> Vec<u64> {
         let levels = self.pools.iter().flat_map(Pool::levels);
-        let meant = levels.filter(|level| level.domain == name(domain));
-        meant.map(|level| level.surcharge).collect()
+        let matching = levels.filter(|level| level.domain == name(domain));
+        matching.map(|level| level.surcharge).collect()
     }
 }
--- a/crates/nutmegkeel_core/tests/l4/placement.rs
+++ b/crates/nutmegkeel_core/tests/l4/placement.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_was_placed_since_the_last_report_counts() {
+fn flows_placed_since_the_last_report_count() {
     let mut pool = pool(&[(1, load(0, 0)), (2, load(2, 0))]);
     for _ in 0..5 {
         pool.placed(host(1));
@@ -45,9 +45,9 @@
 #[test]
 fn a_download_stays_in_its_failure_domain() {
     let mut pool = pool(&[(1, load(3, 0))]);
-    let mut far = word(1, State::Ready, load(0, 0));
-    far.domain = "tema".into();
-    pool.announced(at(0), host(2), far);
+    let mut remote = word(1, State::Ready, load(0, 0));
+    remote.domain = "tema".into();
+    pool.announced(at(0), host(2), remote);
 
     let chosen = pool.choose(at(1), &need(flow(1).key(), Kind::Download, &[]));
 
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_overtaken_announcement_changes_nothing() {
+fn a_reordered_announcement_changes_nothing() {
     let mut pool = pool(&[]);
     pool.announced(at(0), host(1), word(5, State::Closed, load(0, 0)));
 
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_process_that_lost_sight_of_most_agents_suspects_itself() {
+fn a_balancer_that_sees_few_agents_is_cut_off() {
     let mut pool = pool(&[(1, load(0, 0)), (2, load(0, 0)), (3, load(0, 0))]);
     pool.announced(at(5_000), host(1), word(2, State::Ready, load(0, 0)));
 
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_failing_server_is_left_to_its_healthy_peers() {
+fn a_failing_server_gets_no_flows_while_most_peers_are_healthy() {
     let mut pool = pool(&[(1, load(3, 9)), (2, load(3, 9))]);
     pool.announced(at(1), host(3), word(1, State::Failing, load(0, 0)));
 
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_service_whose_servers_mostly_fail_uses_them_all() {
+fn a_service_with_mostly_failing_servers_uses_all_of_them() {
     let mut pool = pool(&[(1, load(3, 9))]);
     for number in [2, 3] {
         pool.announced(at(1), host(number), word(1, State::Failing, load(0, 0)));
@@ -130,15 +130,15 @@
 /// A host's clock was set back before its agent restarted, so the new process has the smaller
 /// incarnation. Treated as stale, its server would get no flow for a minute.
 #[test]
-fn an_agent_that_started_while_its_clock_was_set_back_is_believed_within_a_second() {
+fn an_agent_that_started_while_its_clock_was_set_back_is_accepted_within_a_second() {
     let mut pool = pool(&[(1, load(0, 0))]);
     let mut later = word(1, State::Ready, load(0, 0));
     later.incarnation = 9_000;
     pool.announced(at(0), host(1), later);
     let back = |number| {
-        let mut word = word(number, State::Ready, load(0, 0));
-        word.incarnation = 7_000;
-        word
+        let mut announcement = word(number, State::Ready, load(0, 0));
+        announcement.incarnation = 7_000;
+        announcement
     };
 
     let changes: Vec<Change> =
@@ -150,7 +150,7 @@
 /// Datagrams of a process that has ended are delayed, its last announcement among them. The process
 /// now running at its address must stay known.
 #[test]
-fn late_words_of_an_ended_process_change_nothing() {
+fn delayed_announcements_of_an_ended_process_are_stale() {
     let mut pool = Pool::default();
     let mut present = word(1, State::Ready, load(0, 0));
     present.incarnation = 9_000;
@@ -171,14 +171,14 @@
 /// Openings may go to the first two agents of other failure domains. If a search asks the whole own
 /// domain first, flows stall whenever packets move to another balancer.
 #[test]
-fn a_search_asks_those_first_that_the_opening_was_offered_to() {
+fn a_search_first_asks_the_agents_that_the_opening_was_offered_to() {
     let mut pool = Pool::default();
     for number in 0..40 {
-        let mut word = word(1, State::Ready, load(0, 0));
+        let mut announcement = word(1, State::Ready, load(0, 0));
         if number >= 20 {
-            word.domain = "tema".into();
+            announcement.domain = "tema".into();
         }
-        pool.announced(at(0), host(number), word);
+        pool.announced(at(0), host(number), announcement);
     }
 
     let asked_before: Vec<usize> = (0..200)
--- a/crates/nutmegkeel_core/tests/l4/room.rs
+++ b/crates/nutmegkeel_core/tests/l4/room.rs
@@ -1,4 +1,4 @@
-//! Room of a service as known to balancers: openings go where there is some.
+//! Room of a service as occupancy to balancers: openings go where there is some.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -17,32 +17,32 @@
     service_address, table, word,
 };
 
-const FAR: &str = "tema";
+const REMOTE: &str = "tema";
 
 /// Agents of the own failure domain, and of another one.
-const NEAR_AGENTS: std::ops::RangeInclusive<u8> = 1..=12;
-const FAR_AGENTS: std::ops::RangeInclusive<u8> = 13..=20;
+const LOCAL_AGENTS: std::ops::RangeInclusive<u8> = 1..=12;
+const REMOTE_AGENTS: std::ops::RangeInclusive<u8> = 13..=20;
 
 /// Slots of each backend server.
 pub(crate) const SLOTS: u16 = 4;
 
 /// Port of a route whose requests are less urgent than those at [`PORT`].
-pub(crate) const LATER_PORT: u16 = 444;
+pub(crate) const LESS_URGENT_PORT: u16 = 444;
 
 pub(crate) const IDLE: Load = Load { busy: 0, flows: 0, service_ms: 100 };
 
 /// Load of a server without a free slot and with nothing waiting.
 pub(crate) const FULL: Load = Load { busy: SLOTS, flows: SLOTS, service_ms: 100 };
 
-pub(crate) fn all() -> impl Iterator<Item = u8> {
-    NEAR_AGENTS.chain(FAR_AGENTS)
+pub(crate) fn agents() -> impl Iterator<Item = u8> {
+    LOCAL_AGENTS.chain(REMOTE_AGENTS)
 }
 
 fn domain_of(agent: u8) -> &'static str {
-    if FAR_AGENTS.contains(&agent) { FAR } else { DOMAIN }
+    if REMOTE_AGENTS.contains(&agent) { REMOTE } else { DOMAIN }
 }
 
-pub(crate) fn said(agent: u8, now: u64, load: Load) -> Announcement {
+pub(crate) fn announcement_of(agent: u8, now: u64, load: Load) -> Announcement {
     Announcement { domain: domain_of(agent).into(), ..word(now + 100, State::Ready, load) }
 }
 
@@ -51,8 +51,8 @@
 }
 
 pub(crate) fn announce(balancer: &mut Balancer, now: u64, loads: impl Fn(u8) -> Load) {
-    for agent in all() {
-        let event = Event::Announced(host(agent), said(agent, now, loads(agent)));
+    for agent in agents() {
+        let event = Event::Announced(host(agent), announcement_of(agent, now, loads(agent)));
         balancer.handle(at(now), event);
     }
 }
@@ -61,7 +61,7 @@
 pub(crate) fn balancer_with(policy: Policy, until_ms: u64, loads: impl Fn(u8) -> Load) -> Balancer {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, policy), &[]);
     balancer.handle(at(0), Event::Ordered(Orders::default()));
-    let mut table = table(1, &[(PORT, desk()), (LATER_PORT, desk())]);
+    let mut table = table(1, &[(PORT, desk()), (LESS_URGENT_PORT, desk())]);
     let urgent = Urgency::new(1).expect("a valid urgency");
     table.routes.get_mut(&service_address(PORT)).expect("the route exists").urgency = urgent;
     balancer.handle(at(0), Event::Configured(table));
@@ -74,8 +74,8 @@
 /// Returns a pool of the own failure domain to which all agents announced these loads at `now`.
 fn pool(now: u64, loads: impl Fn(u8) -> Load) -> Pool {
     let mut pool = Pool::open(DOMAIN.into());
-    for agent in all() {
-        pool.announced(at(now), host(agent), said(agent, now, loads(agent)));
+    for agent in agents() {
+        pool.announced(at(now), host(agent), announcement_of(agent, now, loads(agent)));
     }
     pool
 }
@@ -135,11 +135,11 @@
 
 /// All servers are full but one, in the own or the other domain, which has just become free.
 #[test]
-fn when_all_are_full_the_one_that_comes_free_is_taken() {
+fn when_all_servers_are_full_the_next_free_one_is_chosen() {
     for free in [12, 20] {
         let mut balancer = balancer_with(contention_policy(), 3_000, |_| FULL);
-        let frees = Event::Announced(host(free), said(free, 3_100, IDLE));
-        balancer.handle(at(3_100), frees);
+        let event = Event::Announced(host(free), announcement_of(free, 3_100, IDLE));
+        balancer.handle(at(3_100), event);
 
         for port in 1..=4 {
             let chosen = forwarded(&open(&mut balancer, 3_100, flow(port))).map(number);
@@ -151,45 +151,45 @@
 /// Downloads crossed to another failure domain while their own could serve them after a short wait.
 /// Traffic between domains costs more than that wait.
 #[test]
-fn a_download_waits_at_home_rather_than_cross_for_a_free_slot() {
-    let pool = pool(3_000, |agent| if domain_of(agent) == FAR { IDLE } else { FULL });
-    let crosses = |kind| {
+fn a_download_waits_in_its_failure_domain_rather_than_use_a_free_slot_elsewhere() {
+    let pool = pool(3_000, |agent| if domain_of(agent) == REMOTE { IDLE } else { FULL });
+    let leaves_domain = |kind| {
         let choices = (1..=50)
             .filter_map(|port| pool.choose_free(at(3_000), &need(flow(port).key(), kind, &[])));
-        choices.filter(|choice| domain_of(number(choice.agent)) == FAR).count()
+        choices.filter(|choice| domain_of(number(choice.agent)) == REMOTE).count()
     };
 
-    assert_eq!((crosses(Kind::Download), crosses(Kind::Once)), (0, 50));
+    assert_eq!((leaves_domain(Kind::Download), leaves_domain(Kind::Once)), (0, 50));
 }
 
 /// A failure domain is cut off after its agents reported that they are idle. Openings placed by
 /// these reports would accumulate there.
 #[test]
-fn an_old_report_is_no_room() {
+fn an_old_report_shows_no_room() {
     let mut pool = pool(3_000, |_| IDLE);
     let later = 3_000 + MAX_REPORT_AGE_MS + 100;
-    for agent in NEAR_AGENTS.filter(|agent| *agent != 12) {
-        pool.announced(at(later), host(agent), said(agent, later, FULL));
+    for agent in LOCAL_AGENTS.filter(|agent| *agent != 12) {
+        pool.announced(at(later), host(agent), announcement_of(agent, later, FULL));
     }
-    pool.announced(at(later), host(12), said(12, later, IDLE));
+    pool.announced(at(later), host(12), announcement_of(12, later, IDLE));
 
     for port in 1..=50 {
         let choice = pool.choose_free(at(later), &need(flow(port).key(), Kind::Once, &[]));
         assert_eq!(choice.map(|choice| number(choice.agent)), Some(12));
     }
     let rooms = pool.rooms(at(later));
-    let far = rooms.get(&(desk(), FAR.into())).copied().unwrap_or_default();
-    assert_eq!((far.free, far.doubtful), (0, far.servers));
+    let remote = rooms.get(&(desk(), REMOTE.into())).copied().unwrap_or_default();
+    assert_eq!((remote.free, remote.doubtful), (0, remote.servers));
 }
 
 /// Old reports are no reason to refuse an opening: the agents may have done the work since.
 #[test]
-fn an_old_report_is_no_want_of_room_either() {
-    let known =
+fn an_old_report_is_no_reason_to_refuse() {
+    let occupancy =
         Occupancy { slots: SLOTS, busy: 400, placed: 0, service_ms: 100, age_ms: 0, bound: None };
     let rank = Rank { above: 1, degrees: 2 };
 
-    let least_ms = |age_ms| Occupancy { age_ms, ..known }.least_ms(rank);
+    let least_ms = |age_ms| Occupancy { age_ms, ..occupancy }.least_ms(rank);
 
     assert_eq!(least_ms(0), 5_000);
     assert_eq!(least_ms(3_000), 2_000);
@@ -199,19 +199,19 @@
 /// A server that reports zero slots, a service time beyond all deadlines or an implausible number
 /// of requests must neither attract flows nor cause refusals.
 #[test]
-fn absurd_figures_neither_attract_nor_refuse() {
-    let sane =
+fn implausible_figures_neither_attract_nor_refuse_flows() {
+    let plausible =
         Occupancy { slots: SLOTS, busy: SLOTS, placed: 0, service_ms: 100, age_ms: 0, bound: None };
 
-    let no_slots = Occupancy { slots: 0, busy: 0, ..sane };
-    let hours = Occupancy { service_ms: u16::MAX, ..sane };
-    let endless = Occupancy { busy: u16::MAX, placed: u16::MAX, ..sane };
+    let no_slots = Occupancy { slots: 0, busy: 0, ..plausible };
+    let hours = Occupancy { service_ms: u16::MAX, ..plausible };
+    let endless = Occupancy { busy: u16::MAX, placed: u16::MAX, ..plausible };
 
-    for known in [no_slots, hours, endless] {
+    for occupancy in [no_slots, hours, endless] {
         let mut room = Room::default();
-        room.add(&known);
-        assert_eq!(known.free(), 0);
-        assert_eq!(known.least_ms(Rank::FIRST), if known == endless { 100 } else { 0 });
+        room.add(&occupancy);
+        assert_eq!(occupancy.free(), 0);
+        assert_eq!(occupancy.least_ms(Rank::FIRST), if occupancy == endless { 100 } else { 0 });
         assert_eq!(room.free, 0);
     }
 }
@@ -219,47 +219,48 @@
 /// Twenty-five balancers have the same reports, in which ten of sixty servers have free slots. If
 /// each chose the least busy one, that server would get all openings of 300 ms.
 #[test]
-fn balancers_with_the_same_reports_do_not_all_take_the_same_server() {
+fn balancers_with_the_same_reports_do_not_all_choose_the_same_server() {
     let mut pools: Vec<Pool> = (0..25).map(|_| Pool::default()).collect();
     for pool in &mut pools {
         for agent in 1..=60 {
             let load = if u8::is_multiple_of(agent, 6) { IDLE } else { FULL };
-            let said = Announcement { slots: 3, ..word(100, State::Ready, load) };
-            pool.announced(at(0), host(agent), said);
+            let announcement = Announcement { slots: 3, ..word(100, State::Ready, load) };
+            pool.announced(at(0), host(agent), announcement);
         }
     }
-    let mut given: BTreeMap<Ipv4Addr, usize> = BTreeMap::new();
+    let mut openings: BTreeMap<Ipv4Addr, usize> = BTreeMap::new();
 
     for (port, pool) in (1..).zip(&mut pools) {
         let choice = pool.choose_free(at(100), &need(flow(port).key(), Kind::Once, &[]));
         let agent = choice.expect("an agent accepts the flow").agent;
         pool.placed(agent);
-        *given.entry(agent).or_default() += 1;
+        *openings.entry(agent).or_default() += 1;
     }
 
-    assert!(given.keys().all(|agent| number(*agent).is_multiple_of(6)), "{given:?}");
-    assert!(given.values().all(|count| *count <= 3 + 3), "{given:?}");
+    assert!(openings.keys().all(|agent| number(*agent).is_multiple_of(6)), "{openings:?}");
+    assert!(openings.values().all(|count| *count <= 3 + 3), "{openings:?}");
 }
 
 /// A failure domain is evacuated and no other server has a free slot. The evacuation takes
 /// precedence.
 #[test]
-fn free_slots_of_an_evacuated_failure_domain_are_not_taken() {
-    let mut pool = pool(3_000, |agent| if domain_of(agent) == FAR { IDLE } else { FULL });
-    pool.set_evacuated(BTreeSet::from([FAR.into()]));
+fn free_slots_of_an_evacuated_failure_domain_are_not_used() {
+    let mut pool = pool(3_000, |agent| if domain_of(agent) == REMOTE { IDLE } else { FULL });
+    pool.set_evacuated(BTreeSet::from([REMOTE.into()]));
 
     for port in 1..=50 {
         let choice = pool.choose_free(at(3_000), &need(flow(port).key(), Kind::Once, &[]));
         assert!(choice.is_some_and(|choice| domain_of(number(choice.agent)) == DOMAIN));
     }
-    assert_eq!(pool.rooms(at(3_000))[&(desk(), FAR.into())], Room::default());
+    assert_eq!(pool.rooms(at(3_000))[&(desk(), REMOTE.into())], Room::default());
 }
 
 /// A cold server has free slots, but has received all openings that it can accept for now.
 #[test]
-fn slots_of_a_cold_server_without_room_are_not_taken() {
+fn slots_of_a_cold_server_without_room_are_not_used() {
     let mut pool = pool(3_000, |_| FULL);
-    let cold = |room| Announcement { cold: true, room: Some(room), ..said(12, 3_001, IDLE) };
+    let cold =
+        |room| Announcement { cold: true, room: Some(room), ..announcement_of(12, 3_001, IDLE) };
     let chosen = |pool: &Pool| {
         let choices = (1..=50).filter_map(|port| {
             pool.choose_free(at(3_001), &need(flow(port).key(), Kind::Once, &[]))
@@ -276,11 +277,11 @@
 
 /// A flow restricted to its region is not sent to another one, even if that has free slots.
 #[test]
-fn free_slots_of_a_region_that_is_not_allowed_are_not_taken() {
-    let mut pool = pool(3_000, |agent| if domain_of(agent) == FAR { IDLE } else { FULL });
+fn free_slots_of_a_region_that_is_not_allowed_are_not_used() {
+    let mut pool = pool(3_000, |agent| if domain_of(agent) == REMOTE { IDLE } else { FULL });
     pool.set_regions(BTreeMap::from([
         (DOMAIN.into(), "gulf".into()),
-        (FAR.into(), "coast".into()),
+        (REMOTE.into(), "coast".into()),
     ]));
     let regions = BTreeSet::from(["gulf".into()]);
 
@@ -295,7 +296,7 @@
 /// Copies of an opening that must run once go to the same agent, even if a better one has room by
 /// then.
 #[test]
-fn a_copy_of_an_opening_stays_where_the_first_went() {
+fn a_copy_of_an_opening_goes_to_the_same_agent() {
     let five = first_five(flow(1));
     let mut balancer =
         balancer_with(
@@ -313,7 +314,7 @@
 
 /// The status lists the room by service and failure domain, only where openings are placed by it.
 #[test]
-fn status_shows_the_room() {
+fn status_lists_the_room() {
     let by_room =
         balancer_with(contention_policy(), 3_000, |agent| if agent == 1 { IDLE } else { FULL });
     let without = balancer_with(Policy::default(), 3_000, |_| IDLE);
@@ -321,6 +322,6 @@
     let rooms = by_room.status(at(3_000)).rooms;
 
     let shown: Vec<_> = rooms.iter().map(|room| (&*room.domain, room.slots, room.free)).collect();
-    assert_eq!(shown, [(DOMAIN, 48, 4), (FAR, 32, 0)]);
+    assert_eq!(shown, [(DOMAIN, 48, 4), (REMOTE, 32, 0)]);
     assert!(without.status(at(3_000)).rooms.is_empty());
 }
--- a/crates/nutmegkeel_core/tests/l4/shortage.rs
+++ b/crates/nutmegkeel_core/tests/l4/shortage.rs
@@ -11,26 +11,26 @@
 
 use crate::fixture::{PORT, at, flow, forwarded, host, opening, resets, service_address};
 use crate::room::{
-    FULL, IDLE, LATER_PORT, SLOTS, announce, balancer_with, contention_policy, offered, open,
+    FULL, IDLE, LESS_URGENT_PORT, SLOTS, announce, balancer_with, contention_policy, offered, open,
 };
 
 const DEADLINE_MS: u64 = 2_500;
 
 /// Load of a server whose slots become free after any deadline.
-pub(crate) const HOPELESS: Load = Load { busy: SLOTS, flows: SLOTS, service_ms: 3_000 };
+pub(crate) const UNSERVABLE: Load = Load { busy: SLOTS, flows: SLOTS, service_ms: 3_000 };
 
 /// Load of a server with more requests waiting than it can process within a deadline.
-const CROWDED: Load = Load { busy: 400, flows: 400, service_ms: 100 };
+const OVERLOADED: Load = Load { busy: 400, flows: 400, service_ms: 100 };
 
-fn later(port: u16) -> Flow {
-    Flow { service: service_address(LATER_PORT), ..flow(port) }
+fn less_urgent(port: u16) -> Flow {
+    Flow { service: service_address(LESS_URGENT_PORT), ..flow(port) }
 }
 
 fn from_other_client(port: u16) -> Flow {
     Flow { client: SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 9), port), ..flow(port) }
 }
 
-pub(crate) fn declines(
+pub(crate) fn decline(
     balancer: &mut Balancer,
     now: u64,
     from: Ipv4Addr,
@@ -41,7 +41,7 @@
     balancer.handle(at(now), Event::Declined { from, head: opening(flow, 0), reason, load })
 }
 
-pub(crate) fn refused_for(actions: &[Action]) -> Option<Cause> {
+pub(crate) fn refusal_cause(actions: &[Action]) -> Option<Cause> {
     actions.iter().find_map(|action| match action {
         Action::Note(Note::Refused { cause, .. }) => Some(*cause),
         _ => None,
@@ -49,10 +49,15 @@
 }
 
 /// Lets every agent that an opening is offered to decline it, until it is refused.
-fn until_refused(balancer: &mut Balancer, now: u64, flow: Flow, reason: Reason) -> Vec<Action> {
+fn decline_until_refused(
+    balancer: &mut Balancer,
+    now: u64,
+    flow: Flow,
+    reason: Reason,
+) -> Vec<Action> {
     let mut actions = open(balancer, now, flow);
     while let Some(agent) = forwarded(&actions) {
-        actions = declines(balancer, now, agent, flow, reason, FULL);
+        actions = decline(balancer, now, agent, flow, reason, FULL);
     }
     actions
 }
@@ -61,8 +66,8 @@
 /// work it off, and refused callers would only retry until their attempts are used up. A free slot
 /// restarts the two seconds.
 #[test]
-fn a_crowd_of_two_seconds_turns_nobody_away() {
-    let mut balancer = balancer_with(contention_policy(), 3_000, |_| HOPELESS);
+fn an_overload_of_two_seconds_refuses_no_opening() {
+    let mut balancer = balancer_with(contention_policy(), 3_000, |_| UNSERVABLE);
     let mut port = 0;
     let mut is_refused = |balancer: &mut Balancer, now| {
         port += 1;
@@ -70,16 +75,16 @@
     };
 
     for now in (3_000..=3_000 + CONGESTION_TOLERANCE_MS).step_by(100) {
-        announce(&mut balancer, now, |_| HOPELESS);
+        announce(&mut balancer, now, |_| UNSERVABLE);
         assert!(!is_refused(&mut balancer, now), "{now}");
     }
-    announce(&mut balancer, 5_100, |_| HOPELESS);
+    announce(&mut balancer, 5_100, |_| UNSERVABLE);
     assert!(is_refused(&mut balancer, 5_100));
 
-    announce(&mut balancer, 5_200, |agent| if agent == 1 { IDLE } else { HOPELESS });
+    announce(&mut balancer, 5_200, |agent| if agent == 1 { IDLE } else { UNSERVABLE });
     let other = from_other_client(1);
     assert_eq!(forwarded(&open(&mut balancer, 5_200, other)), Some(host(1)));
-    announce(&mut balancer, 5_300, |_| HOPELESS);
+    announce(&mut balancer, 5_300, |_| UNSERVABLE);
     assert!(!resets(&open(&mut balancer, 5_300, from_other_client(2))));
 }
 
@@ -87,15 +92,15 @@
 /// Once all reports have been renewed without a free slot, an opening waits at its first agent. An
 /// agent that becomes free is asked for a free slot again.
 #[test]
-fn in_a_crowd_no_free_slot_is_looked_for() {
-    let mut balancer = balancer_with(contention_policy(), 3_000, |_| CROWDED);
+fn in_a_confirmed_congestion_openings_wait_at_the_first_agent() {
+    let mut balancer = balancer_with(contention_policy(), 3_000, |_| OVERLOADED);
     let mut asked = Vec::new();
     for (port, now) in (1..).zip((3_000..=4_500).step_by(300)) {
-        announce(&mut balancer, now, |_| CROWDED);
+        announce(&mut balancer, now, |_| OVERLOADED);
         let actions = open(&mut balancer, now, flow(port));
         asked.push(offered(&actions).map(|offer| offer.insistence));
     }
-    announce(&mut balancer, 4_800, |agent| if agent == 1 { IDLE } else { CROWDED });
+    announce(&mut balancer, 4_800, |agent| if agent == 1 { IDLE } else { OVERLOADED });
     let free = open(&mut balancer, 4_800, flow(100));
 
     let (idle, in_time) = (Some(Insistence::IfIdle), Some(Insistence::IfInTime));
@@ -108,14 +113,14 @@
 /// in time; more urgent ones are served first and must not be refused.
 #[test]
 fn a_lasting_overload_refuses_the_least_urgent_first() {
-    let mut balancer = balancer_with(contention_policy(), 3_000, |_| CROWDED);
+    let mut balancer = balancer_with(contention_policy(), 3_000, |_| OVERLOADED);
     let mut refused = [0, 0];
     for (port, now) in (1..).zip((3_000..=8_000).step_by(100)) {
-        announce(&mut balancer, now, |_| CROWDED);
+        announce(&mut balancer, now, |_| OVERLOADED);
         let urgent = open(&mut balancer, now, from_other_client(port));
-        let less = open(&mut balancer, now, later(port));
+        let less = open(&mut balancer, now, less_urgent(port));
         refused[0] += usize::from(resets(&urgent));
-        refused[1] += usize::from(refused_for(&less) == Some(Cause::NoRoom));
+        refused[1] += usize::from(refusal_cause(&less) == Some(Cause::NoRoom));
     }
 
     assert_eq!(refused[0], 0);
@@ -125,7 +130,7 @@
 /// An opening has been declined for more than a second. A server has become free, and the client
 /// still waits for the answer.
 #[test]
-fn an_opening_past_its_usual_time_still_goes_to_a_free_server() {
+fn an_opening_past_its_timeout_still_goes_to_a_free_server() {
     let mut balancer = balancer_with(contention_policy(), 3_000, |_| FULL);
     let first = forwarded(&open(&mut balancer, 3_000, flow(1))).expect("an agent accepts the flow");
     let free = if first == host(12) { 11 } else { 12 };
@@ -133,19 +138,19 @@
         announce(&mut balancer, now, |agent| if agent == free { IDLE } else { FULL });
     }
 
-    let next = declines(&mut balancer, 4_200, first, flow(1), Reason::Late, FULL);
+    let next = decline(&mut balancer, 4_200, first, flow(1), Reason::Late, FULL);
 
     assert_eq!(forwarded(&next), Some(host(free)));
 }
 
 #[test]
-fn a_refusal_says_what_it_rested_on() {
-    let mut balancer = balancer_with(contention_policy(), 3_000, |_| HOPELESS);
+fn a_refusal_reports_its_figures() {
+    let mut balancer = balancer_with(contention_policy(), 3_000, |_| UNSERVABLE);
     for now in (3_000..=5_100).step_by(300) {
-        announce(&mut balancer, now, |_| HOPELESS);
+        announce(&mut balancer, now, |_| UNSERVABLE);
         open(&mut balancer, now, from_other_client(1));
     }
-    announce(&mut balancer, 5_400, |_| HOPELESS);
+    announce(&mut balancer, 5_400, |_| UNSERVABLE);
 
     let actions = open(&mut balancer, 5_400, flow(1));
 
@@ -161,13 +166,13 @@
 /// A refused caller retries at once. Without an exemption the same balancer refuses it until its
 /// attempts are used up, while new callers are served.
 #[test]
-fn a_caller_that_comes_back_is_not_refused_again() {
-    let mut balancer = balancer_with(contention_policy(), 3_000, |_| HOPELESS);
+fn a_retry_after_a_refusal_is_not_refused_again() {
+    let mut balancer = balancer_with(contention_policy(), 3_000, |_| UNSERVABLE);
     for now in (3_000..=5_400).step_by(300) {
-        announce(&mut balancer, now, |_| HOPELESS);
+        announce(&mut balancer, now, |_| UNSERVABLE);
         open(&mut balancer, now, from_other_client(1));
     }
-    assert_eq!(refused_for(&open(&mut balancer, 5_410, flow(1))), Some(Cause::NoRoom));
+    assert_eq!(refusal_cause(&open(&mut balancer, 5_410, flow(1))), Some(Cause::NoRoom));
 
     let second = open(&mut balancer, 5_420, flow(2));
     let copy = balancer.handle(at(5_440), Event::Client(opening(flow(2), 1)));
@@ -175,36 +180,36 @@
 
     assert!(offered(&second).is_some_and(|offer| offer.returns));
     assert!(offered(&copy).is_some_and(|offer| offer.returns));
-    assert_eq!(refused_for(&third), Some(Cause::NoRoom));
+    assert_eq!(refusal_cause(&third), Some(Cause::NoRoom));
 }
 
 /// A refusal after all agents declined also counts as one for lack of room. It exempts one flow of
 /// the same caller and route.
 #[test]
-fn a_refusal_is_good_for_one_return_of_its_caller() {
+fn a_refusal_exempts_one_retry_of_its_caller() {
     let mut balancer = balancer_with(contention_policy(), 3_000, |_| FULL);
-    let refused = until_refused(&mut balancer, 3_000, flow(1), Reason::Late);
-    assert_eq!(refused_for(&refused), Some(Cause::AllDeclined));
+    let refused = decline_until_refused(&mut balancer, 3_000, flow(1), Reason::Late);
+    assert_eq!(refusal_cause(&refused), Some(Cause::AllDeclined));
 
-    let mut returns =
+    let mut is_retry =
         |flow| offered(&open(&mut balancer, 3_010, flow)).is_some_and(|offer| offer.returns);
 
-    assert!(!returns(from_other_client(2)));
-    assert!(!returns(later(2)));
-    assert!(returns(flow(2)));
-    assert!(!returns(flow(3)));
+    assert!(!is_retry(from_other_client(2)));
+    assert!(!is_retry(less_urgent(2)));
+    assert!(is_retry(flow(2)));
+    assert!(!is_retry(flow(3)));
 }
 
 #[test]
-fn no_return_is_offered_where_the_mechanism_is_off() {
+fn no_offer_is_marked_as_retry_where_the_mechanism_is_off() {
     let policy = Policy::without([Mechanism::Room]).under([Condition::Contention]);
     let mut balancer = balancer_with(policy, 3_000, |_| FULL);
-    let refused = until_refused(&mut balancer, 3_000, flow(1), Reason::Late);
+    let refused = decline_until_refused(&mut balancer, 3_000, flow(1), Reason::Late);
 
     let next = open(&mut balancer, 3_010, flow(2));
 
     assert!(resets(&refused));
-    assert_eq!(refused_for(&refused), None);
+    assert_eq!(refusal_cause(&refused), None);
     assert!(offered(&next).is_some_and(|offer| !offer.returns));
 }
 
@@ -212,20 +217,20 @@
 /// limited.
 #[test]
 fn memory_of_refused_callers_is_bounded() {
-    let mut returns = Retries::default();
+    let mut retries = Retries::default();
     let from = |number: u32| {
         let client = SocketAddrV4::new(Ipv4Addr::from_bits(0x6440_0000 + number), 1_000);
         Flow { client, service: service_address(PORT) }
     };
 
     for number in 0..100_000 {
-        returns.refused(at(u64::from(number) / 100), &from(number));
-        assert!(returns.len() <= MAX_CALLERS);
+        retries.refused(at(u64::from(number) / 100), &from(number));
+        assert!(retries.len() <= MAX_CALLERS);
     }
 
-    assert!(!returns.claim(at(1_000), &from(0)));
-    assert!(returns.claim(at(1_000), &from(99_999)));
-    assert!(!returns.claim(at(1_000), &from(99_999)));
-    assert!(!returns.claim(at(1_001 + RETENTION_MS), &from(99_998)));
-    assert!(returns.is_empty());
+    assert!(!retries.claim(at(1_000), &from(0)));
+    assert!(retries.claim(at(1_000), &from(99_999)));
+    assert!(!retries.claim(at(1_000), &from(99_999)));
+    assert!(!retries.claim(at(1_001 + RETENTION_MS), &from(99_998)));
+    assert!(retries.is_empty());
 }
--- a/crates/nutmegkeel_core/tests/l4/shortage_random.rs
+++ b/crates/nutmegkeel_core/tests/l4/shortage_random.rs
@@ -13,22 +13,23 @@
 
 use crate::fixture::{PORT, at, forwarded, host, service_address};
 use crate::room::{
-    LATER_PORT, SLOTS, all, balancer_with, contention_policy, number, offered, open, said,
+    LESS_URGENT_PORT, SLOTS, agents, announcement_of, balancer_with, contention_policy, number,
+    offered, open,
 };
-use crate::shortage::{HOPELESS, declines, refused_for};
+use crate::shortage::{UNSERVABLE, decline, refusal_cause};
 
 /// Last report of a random agent, its time, and the agent's answer to an opening.
 #[derive(Clone, Copy, Debug)]
-struct Drawn {
+struct RandomAgent {
     load: Load,
     slots: u16,
-    heard: u64,
-    declines: Reason,
+    reported_at: u64,
+    decline_reason: Reason,
     /// Whether it has declined an opening as cold since the report.
     is_cold: bool,
 }
 
-impl Drawn {
+impl RandomAgent {
     /// In two fleets of three, nearly all servers are full and slow enough for refusals.
     fn draw(random: &mut StdRng, now: u64, fleet: u64) -> Self {
         let is_full = !fleet.is_multiple_of(3) && random.random_range(0..60) > 0;
@@ -36,19 +37,19 @@
         let service_ms = [0, 100, 2_400, 3_000][random.random_range(0..4)];
         let service_ms = if is_full { 3_000 } else { service_ms };
         let reasons = [Reason::Busy, Reason::Late, Reason::Full, Reason::Cold];
-        let declines = reasons[random.random_range(0..4)];
+        let decline_reason = reasons[random.random_range(0..4)];
         let slots = random.random_range(0..=SLOTS);
         Self {
             load: Load { busy, flows: busy, service_ms },
             slots,
-            heard: now,
-            declines,
+            reported_at: now,
+            decline_reason,
             is_cold: false,
         }
     }
 
     fn has_room(&self, now: u64) -> bool {
-        !self.is_cold && now - self.heard <= MAX_REPORT_AGE_MS && self.load.busy < self.slots
+        !self.is_cold && now - self.reported_at <= MAX_REPORT_AGE_MS && self.load.busy < self.slots
     }
 }
 
@@ -69,20 +70,23 @@
 /// Simulates a random fleet for four seconds and checks each refusal.
 fn refusals_of_fleet(fleet: u64) -> Vec<Cause> {
     let mut random = StdRng::seed_from_u64(fleet);
-    let mut balancer = balancer_with(contention_policy(), 3_000, |_| HOPELESS);
-    let mut known: BTreeMap<u8, Drawn> = BTreeMap::new();
+    let mut balancer = balancer_with(contention_policy(), 3_000, |_| UNSERVABLE);
+    let mut known: BTreeMap<u8, RandomAgent> = BTreeMap::new();
     let mut refusals = Vec::new();
     for (port, now) in (1..).zip((3_300..7_500).step_by(300)) {
-        for agent in all() {
+        for agent in agents() {
             if !known.contains_key(&agent) || random.random_range(0..8) > 0 {
-                let drawn = Drawn::draw(&mut random, now, fleet);
-                known.insert(agent, drawn);
-                let word = Announcement { slots: drawn.slots, ..said(agent, now, drawn.load) };
-                balancer.handle(at(now), Event::Announced(host(agent), word));
+                let random_agent = RandomAgent::draw(&mut random, now, fleet);
+                known.insert(agent, random_agent);
+                let announcement = Announcement {
+                    slots: random_agent.slots,
+                    ..announcement_of(agent, now, random_agent.load)
+                };
+                balancer.handle(at(now), Event::Announced(host(agent), announcement));
             }
         }
         let pause_ms = [0, 1, 3, 7][random.random_range(0..4)];
-        let route = if random.random_bool(0.5) { PORT } else { LATER_PORT };
+        let route = if random.random_bool(0.5) { PORT } else { LESS_URGENT_PORT };
         let caller = Ipv4Addr::from_bits(0x6441_0000 + u32::from(port));
         let client = SocketAddrV4::new(caller, port);
         let flow = Flow { client, service: service_address(route) };
@@ -94,34 +98,34 @@
 /// Opens a flow that every agent declines after a pause, and checks the reason of its refusal.
 fn open_and_decline(
     balancer: &mut Balancer,
-    began: u64,
+    started_at: u64,
     pause_ms: u64,
     flow: Flow,
-    known: &mut BTreeMap<u8, Drawn>,
+    known: &mut BTreeMap<u8, RandomAgent>,
 ) -> Option<Cause> {
-    let (mut now, mut declined) = (began, BTreeSet::new());
+    let (mut now, mut declined) = (started_at, BTreeSet::new());
     let mut actions = open(balancer, now, flow);
     while let Some(agent) = forwarded(&actions) {
         now += pause_ms;
         let only_if_idle = offered(&actions)?.insistence == Insistence::IfIdle;
-        let drawn = known.get_mut(&number(agent))?;
-        drawn.heard = now;
+        let random_agent = known.get_mut(&number(agent))?;
+        random_agent.reported_at = now;
         // An agent that may let the opening wait does not decline it as busy.
-        let reason = match drawn.declines {
+        let reason = match random_agent.decline_reason {
             Reason::Busy if !only_if_idle => Reason::Late,
             reason => reason,
         };
-        drawn.is_cold |= reason == Reason::Cold;
+        random_agent.is_cold |= reason == Reason::Cold;
         if reason == Reason::Busy {
-            drawn.load.busy = SLOTS;
+            random_agent.load.busy = SLOTS;
         } else {
             declined.insert(number(agent));
         }
-        let load = drawn.load;
-        actions = declines(balancer, now, agent, flow, reason, load);
+        let load = random_agent.load;
+        actions = decline(balancer, now, agent, flow, reason, load);
     }
-    let cause = refused_for(&actions)?;
+    let cause = refusal_cause(&actions)?;
     let free = known.iter().filter(|(agent, one)| one.has_room(now) && !declined.contains(agent));
-    assert_eq!(free.count(), 0, "{cause:?} after {} ms: {known:?}", now - began);
+    assert_eq!(free.count(), 0, "{cause:?} after {} ms: {known:?}", now - started_at);
     Some(cause)
 }
--- a/crates/nutmegkeel_core/tests/l4/uneven_fleet.rs
+++ b/crates/nutmegkeel_core/tests/l4/uneven_fleet.rs
@@ -55,7 +55,7 @@
     free_at: [u64; SLOTS],
     /// Service time in percent of the usual one.
     percent: u64,
-    at_server: u16,
+    in_progress: u16,
     flows: u16,
     meter: Meter,
     number: u64,
@@ -63,7 +63,7 @@
 
 #[derive(Clone, Copy)]
 enum Event {
-    Open,
+    OpenFlow,
     Request { server: u8, opened: u64, left: u8 },
     Answer { server: u8 },
     Close { server: u8 },
@@ -80,7 +80,7 @@
 
 pub(crate) struct Fleet {
     random: Random,
-    compares: bool,
+    compares_speeds: bool,
     now: u64,
     order: u64,
     events: BTreeMap<(u64, u64), Event>,
@@ -95,18 +95,18 @@
 
 impl Fleet {
     /// Creates a fleet whose balancers may compare the speeds of servers.
-    pub(crate) fn open(seed: u64, balancers: usize, compares: bool) -> Self {
+    pub(crate) fn open(seed: u64, balancers: usize, compares_speeds: bool) -> Self {
         let server = |_| Server {
             free_at: [0; SLOTS],
             percent: 100,
-            at_server: 0,
+            in_progress: 0,
             flows: 0,
             meter: Meter::open(at(0)),
             number: 0,
         };
         let mut fleet = Self {
             random: Random(seed),
-            compares,
+            compares_speeds,
             now: 0,
             order: 0,
             events: BTreeMap::new(),
@@ -121,7 +121,7 @@
             let after_ms = fleet.random.below(REPORT_MS);
             fleet.after(after_ms, Event::Report { server });
         }
-        fleet.after(1, Event::Open);
+        fleet.after(1, Event::OpenFlow);
         fleet.after(REVIEW_MS, Event::Review);
         fleet
     }
@@ -134,15 +134,15 @@
         self.servers[usize::from(server)].flows
     }
 
-    pub(crate) fn at_server(&self, server: u8) -> u16 {
-        self.servers[usize::from(server)].at_server
+    pub(crate) fn in_progress(&self, server: u8) -> u16 {
+        self.servers[usize::from(server)].in_progress
     }
 
     /// Replaces a server by a new one without flows.
     pub(crate) fn replace(&mut self, server: u8) {
-        let place = &mut self.servers[usize::from(server)];
-        (place.flows, place.at_server) = (0, 0);
-        place.meter.clear();
+        let state = &mut self.servers[usize::from(server)];
+        (state.flows, state.in_progress) = (0, 0);
+        state.meter.clear();
     }
 
     pub(crate) fn run(&mut self, until: u64) {
@@ -175,54 +175,54 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Open => self.place(),
-            Event::Request { server, opened, left } => self.ask(server, opened, left),
+            Event::OpenFlow => self.open_flow(),
+            Event::Request { server, opened, left } => self.send_request(server, opened, left),
             Event::Answer { server } => {
-                let place = &mut self.servers[usize::from(server)];
-                place.meter.answered(at(self.now));
-                place.at_server = place.at_server.saturating_sub(1);
-                self.look(server);
+                let state = &mut self.servers[usize::from(server)];
+                state.meter.answered(at(self.now));
+                state.in_progress = state.in_progress.saturating_sub(1);
+                self.update_meter(server);
             }
             Event::Close { server } => {
-                let place = &mut self.servers[usize::from(server)];
-                place.flows = place.flows.saturating_sub(1);
+                let state = &mut self.servers[usize::from(server)];
+                state.flows = state.flows.saturating_sub(1);
             }
             Event::Report { server } => {
-                self.look(server);
+                self.update_meter(server);
                 self.report(server);
                 self.after(REPORT_MS, Event::Report { server });
             }
             Event::Review => {
-                for pool in self.pools.iter_mut().filter(|_| self.compares) {
+                for pool in self.pools.iter_mut().filter(|_| self.compares_speeds) {
                     let verdicts = pool.compare_speeds(at(self.now));
                     self.verdicts.extend(verdicts.into_iter().map(|one| (self.now, one)));
                 }
-                (0..SERVERS).for_each(|server| self.look(server));
+                (0..SERVERS).for_each(|server| self.update_meter(server));
                 self.after(REVIEW_MS, Event::Review);
             }
         }
     }
 
-    fn look(&mut self, server: u8) {
-        let place = &mut self.servers[usize::from(server)];
-        let working = usize::from(place.at_server).min(SLOTS);
-        place.meter.look(at(self.now), working as u64);
+    fn update_meter(&mut self, server: u8) {
+        let state = &mut self.servers[usize::from(server)];
+        let working = usize::from(state.in_progress).min(SLOTS);
+        state.meter.look(at(self.now), working as u64);
     }
 
     fn report(&mut self, server: u8) {
-        let place = &mut self.servers[usize::from(server)];
-        place.number += 1;
-        let service_ms = place.meter.service_ms();
-        let load = Load { busy: place.at_server, flows: place.flows, service_ms };
+        let state = &mut self.servers[usize::from(server)];
+        state.number += 1;
+        let service_ms = state.meter.service_ms();
+        let load = Load { busy: state.in_progress, flows: state.flows, service_ms };
         let domain = DOMAINS[usize::from(server) % DOMAINS.len()].into();
-        let said = word(place.number, State::Ready, load);
-        let said = Announcement { slots: SLOTS as u16, domain, ..said };
+        let announcement = word(state.number, State::Ready, load);
+        let announcement = Announcement { slots: SLOTS as u16, domain, ..announcement };
         for pool in &mut self.pools {
-            pool.announced(at(self.now), host(server), said.clone());
+            pool.announced(at(self.now), host(server), announcement.clone());
         }
     }
 
-    fn place(&mut self) {
+    fn open_flow(&mut self) {
         let balancer = self.random.below(self.pools.len() as u64) as usize;
         let need = Need {
             key: Key::new(self.random.next()),
@@ -237,20 +237,20 @@
         pool.placed(choice.agent);
         let server = choice.agent.octets()[3];
         self.servers[usize::from(server)].flows += 1;
-        self.ask(server, self.now, REQUESTS);
+        self.send_request(server, self.now, REQUESTS);
         let pause_ms = 1 + self.random.below(2_000 / FLOWS_PER_S);
-        self.after(pause_ms, Event::Open);
+        self.after(pause_ms, Event::OpenFlow);
     }
 
-    fn ask(&mut self, server: u8, opened: u64, left: u8) {
+    fn send_request(&mut self, server: u8, opened: u64, left: u8) {
         let work_ms = (self.work_ms)(&mut self.random);
         let now = self.now;
-        let place = &mut self.servers[usize::from(server)];
-        place.at_server += 1;
-        let slot = place.free_at.iter_mut().min().expect("a server has slots");
-        *slot = now.max(*slot) + work_ms * place.percent / 100;
+        let state = &mut self.servers[usize::from(server)];
+        state.in_progress += 1;
+        let slot = state.free_at.iter_mut().min().expect("a server has slots");
+        *slot = now.max(*slot) + work_ms * state.percent / 100;
         let took_ms = *slot - now;
-        self.look(server);
+        self.update_meter(server);
         self.after(took_ms, Event::Answer { server });
         let tally = self.tallies.entry(opened / 1_000).or_default();
         tally.asked += 1;
