--- a/crates/nutmegkeel_core/src/l4/placement/balance.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/balance.rs
@@ -187,9 +187,9 @@
         }
     }
 
-    /// Updates the utilization. It is unknown if at least half of the domain's agents are late: the
-    /// few remaining ones would decide whether the domain is overloaded or gets no flows, on
-    /// reports of the others that are seconds old.
+    /// Updates the utilization. It is unknown while at least half of the domain's agents are late.
+    /// The few that still report would otherwise decide for the domain, which could be flooded with
+    /// flows or get none because of loads that are seconds old.
     fn observe(&mut self, elapsed_ms: u64, sample: Sample) {
         if sample.fresh <= sample.late {
             self.utilization = None;
--- a/crates/nutmegkeel_core/src/l4/placement/candidate.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/candidate.rs
@@ -24,6 +24,8 @@
 }
 
 impl Weights {
+    /// Returns the weights for a kind of requests.
+    ///
     /// Short flows are placed by the requests in progress. Long flows are placed by the number of
     /// flows: each causes requests for its whole life, whatever is in progress now. Leaving the
     /// failure domain costs traffic between domains, which is largest for downloads.
@@ -63,9 +65,9 @@
     pub(super) inherited: Option<Inheritance>,
     /// Flows that the backend server holds and the agent does not know yet.
     pub(super) missing: u16,
-    /// Whether the agent was returned as newly silent.
+    /// Whether the agent was returned as newly silent since it was last seen.
     pub(super) is_silence_reported: bool,
-    /// Whether the agent was returned as newly late.
+    /// Whether the agent was returned as newly late since it was last seen.
     pub(super) is_lateness_reported: bool,
     /// What this balancer last sent to the agent about the balancers.
     pub(super) last_sent: Option<Told>,
@@ -101,9 +103,9 @@
     /// later announcement since.
     ///
     /// The exception covers a host whose clock was set back before its agent restarted: the new
-    /// process has the smaller incarnation for good, and without it its server would get no flows
-    /// until the old process is forgotten. A delayed datagram does not qualify, since a dead
-    /// process sends no later number.
+    /// process then has the smaller incarnation for good. Without the exception, its server would
+    /// get no flows until the old process is forgotten. A delayed datagram does not qualify, since
+    /// a dead process sends no later number.
     pub(super) fn change(&mut self, now: Time, announcement: &Announcement) -> Change {
         let known = &self.announcement;
         if announcement.incarnation >= known.incarnation {
--- a/crates/nutmegkeel_core/src/l4/placement/evenness.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/evenness.rs
@@ -49,8 +49,8 @@
     /// Without it, a server that has just started or recovered would attract the new flows of all
     /// balancers at once: it has no flows, each balancer learns of the others' flows only with the
     /// next report, and the first requests of these flows would queue there. With it, the server is
-    /// preferred only while it has fewer requests in progress than its peers by that margin. Slow
-    /// servers are exempt, because they are meant to have few flows.
+    /// preferred by that margin only, until it is busier than its peers by as much. Slow servers
+    /// are exempt, because they are meant to have few flows.
     pub(super) fn set_min_flows(&mut self, now: Time, service: Service) {
         let (mut flows, mut slots) = (0, 0);
         for (_, candidate) in self.ready_members(now, service) {
--- a/crates/nutmegkeel_core/src/l4/placement/free.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/free.rs
@@ -25,11 +25,11 @@
     /// Chooses an agent as [`Self::choose`] does. If that agent has no known free slot, returns the
     /// first agent in the flow's own order that has one.
     ///
-    /// Without it, openings wait or are refused at the first few agents of their order while other
-    /// backend servers are idle. Agents are taken in the flow's own order, not by load: balancers
-    /// with the same reports would all choose the least busy server and send it many times its free
-    /// slots before the next report. A download leaves its failure domain only if the lower load
-    /// outweighs the cost of its traffic.
+    /// Otherwise openings would wait or be refused at the first few agents of their order while
+    /// other backend servers are idle. Agents are taken in the flow's own order, not by load:
+    /// balancers with the same reports would all choose the least busy server and send it many
+    /// times its free slots before the next report. A download leaves its failure domain only if
+    /// the lower load outweighs the cost of its traffic.
     #[must_use]
     pub fn choose_free(&self, now: Time, need: &Need) -> Option<Choice> {
         let choice = self.choose(now, need)?;
@@ -97,8 +97,8 @@
         rooms
     }
 
-    /// Returns whether an agent accepts a new flow, where `eligible_state` is the state that gets the flows
-    /// of the service.
+    /// Returns whether an agent accepts a new flow, where `eligible_state` is the state whose
+    /// agents get the flows of the service.
     pub(super) fn accepts(
         &self,
         now: Time,
--- a/crates/nutmegkeel_core/src/l4/placement/liveness.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/liveness.rs
@@ -17,8 +17,7 @@
 
 impl Pool {
     /// Returns until when reports on an agent could be received. An agent in another failure domain
-    /// announces itself here only at times; otherwise summaries report the age of its last
-    /// heartbeat.
+    /// announces itself here only at times; otherwise summaries report how long ago it was seen.
     ///
     /// An agent is thus judged by its own silence only. It is not declared dead, and its flows are
     /// not reset, because the balancers that report on it are gone, or have just restarted and omit
@@ -99,9 +98,9 @@
     }
 
     /// Returns whether a flow that no agent holds does not exist. An agent that is late or
-    /// restarting may hold it if it has a backend server. One that became silent without notice is
-    /// dead or cut off, and its flows are lost either way, unless this process is the one that is
-    /// cut off.
+    /// restarting may hold it if it has announced a backend server. One that became silent without
+    /// notice is dead or cut off, and its flows are lost either way, unless it is this process that
+    /// is cut off.
     #[must_use]
     pub fn is_conclusive(&self, now: Time) -> bool {
         let undecided = |candidate: &Candidate| {
--- a/crates/nutmegkeel_core/src/l4/placement/order.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/order.rs
@@ -51,9 +51,9 @@
     /// Returns the agents that are asked first for a flow: those that its opening was offered to
     /// before all others, for each of the given services, or for all services if none is given.
     ///
-    /// It includes the agents of other failure domains that openings go to. A search through the
-    /// whole own domain first would cost two flows in five one round trip per agent of the domain
-    /// while the client waits.
+    /// They include the two agents of other failure domains that openings go to. If the whole own
+    /// domain were asked before these, two flows in five would cost a round trip per agent of the
+    /// domain while the client waits.
     #[must_use]
     pub fn search_first(&self, key: Key, services: &[Service], domain: &str) -> Vec<Ipv4Addr> {
         let given = services.iter().map(|service| Some(*service));
--- a/crates/nutmegkeel_core/src/l4/room/congestion.rs
+++ b/crates/nutmegkeel_core/src/l4/room/congestion.rs
@@ -7,7 +7,7 @@
 use crate::clock::Time;
 use crate::l4::route::Service;
 
-/// Duration up to which a congestion refuses no openings, in milliseconds. Servers work off the
+/// Duration up to which congestion causes no refusals, in milliseconds. Servers work off the
 /// requests of a shorter one.
 pub const CONGESTION_TOLERANCE_MS: u64 = 2_000;
 
@@ -15,7 +15,7 @@
 /// been renewed by then.
 const CONFIRMED_MS: u64 = MAX_REPORT_AGE_MS;
 
-/// Time without a further observation after which a congestion is over, in milliseconds.
+/// Time without a further observation after which congestion is over, in milliseconds.
 const EPISODE_GAP_MS: u64 = 1_000;
 
 /// Reason to refuse an opening: no backend server can answer it in time.
@@ -34,14 +34,14 @@
 /// Flows of a route at one of its services.
 type Scope = (SocketAddrV4, Service);
 
-/// A period in which no free slot was known.
+/// Period of congestion of one route and service, in which no free slot was known.
 #[derive(Clone, Copy, Debug)]
 struct Episode {
     since: Time,
     last_full: Time,
 }
 
-/// Periods without a known free slot, by route and service.
+/// Periods of congestion, by route and service.
 #[derive(Clone, Debug, Default)]
 pub struct Congestion {
     episodes: BTreeMap<Scope, Episode>,
@@ -58,8 +58,8 @@
         now.since(episode.since)
     }
 
-    /// Returns whether the period without a free slot has lasted so long that there is no point in
-    /// asking for one.
+    /// Returns whether congestion has lasted so long that there is no point in asking for a free
+    /// slot.
     #[must_use]
     pub fn is_confirmed(&self, now: Time, scope: Scope) -> bool {
         let is_confirmed = |episode: &Episode| {
--- a/crates/nutmegkeel_core/tests/l4/balance.rs
+++ b/crates/nutmegkeel_core/tests/l4/balance.rs
@@ -227,8 +227,8 @@
     assert!(local_agents().contains(&agent.expect("the own domain accepts flows")));
 }
 
-/// An agent restarts on the host of a server with 80 flows and first reports five of them. Without the
-/// inherited flows, all balancers would send it their new flows in addition to the 80.
+/// An agent restarts on the host of a server with 80 flows and first reports five of them. Without
+/// the inherited flows, all balancers would send it their new flows in addition to the 80.
 #[test]
 fn a_restarted_agent_counts_with_the_flows_it_inherits() {
     let agent_of = |is_balanced: bool| {
@@ -285,9 +285,9 @@
     }
 }
 
-/// An agent restarts on the host of a server that holds flows. It knows a flow only after the server's
-/// answer, so it reported no request in progress while requests on these flows filled the server's
-/// queue.
+/// An agent restarts on the host of a server that holds flows. It knows a flow only after the
+/// server's answer, so it reported no request in progress while requests on these flows filled the
+/// server's queue.
 #[test]
 fn a_restarted_agent_reports_requests_on_unknown_flows() {
     let busy_of = |policy: Policy| {
--- a/crates/nutmegkeel_core/tests/l4/balance/fleet.rs
+++ b/crates/nutmegkeel_core/tests/l4/balance/fleet.rs
@@ -31,7 +31,7 @@
 /// Warm-up time that the outcome leaves out.
 const WARM_UP_MS: u64 = 2_000;
 
-/// Change of a surcharge that counts as a swing, in thousandths of a slot.
+/// Change of a surcharge that counts as an oscillation, in thousandths of a slot.
 const MIN_OSCILLATION: u64 = 400;
 
 /// Load of the clients, and its change during one period.
@@ -169,8 +169,8 @@
     }
 
     fn draw_index(&mut self, count: usize) -> usize {
-        let count = u64::try_from(count).expect("few places");
-        usize::try_from(self.draw(count)).expect("few places")
+        let count = u64::try_from(count).expect("a small count");
+        usize::try_from(self.draw(count)).expect("a small count")
     }
 
     fn is_cut_off(&self, domain: usize, now: u64) -> bool {
--- a/crates/nutmegkeel_core/tests/l4/uneven.rs
+++ b/crates/nutmegkeel_core/tests/l4/uneven.rs
@@ -49,7 +49,7 @@
     let (even, before, after) = (late(true, 100), late(false, 750), late(true, 750));
 
     println!(
-        "late per 1000 requests of new flows: {even} with even servers, {before} without comparison, {after} with"
+        "late per 1000 requests: {even} on even servers, {before} not compared, {after} compared"
     );
     assert!(before > even + 30);
     assert!(after <= even + 10);
