--- a/crates/nutmegkeel_core/tests/l4/balance.rs
+++ b/crates/nutmegkeel_core/tests/l4/balance.rs
@@ -174,9 +174,9 @@
     announce_loads(&mut pool, load(2, 40), load(2, 40), 0, 900);
     for now in (900..=3_000).step_by(100) {
         announce_loads(&mut pool, load(2, 40), load(2, 40), now, now);
-        let absurd =
+        let implausible =
             Announcement { slots: 0, ..remote_announcement(9_000 + now, load(u16::MAX, 0)) };
-        pool.announced(at(now), host(4), absurd);
+        pool.announced(at(now), host(4), implausible);
     }
 
     let utilization = level(&pool, REMOTE).utilization.expect("the utilization is known");
--- a/crates/nutmegkeel_core/tests/l4/room.rs
+++ b/crates/nutmegkeel_core/tests/l4/room.rs
@@ -204,14 +204,14 @@
         Occupancy { slots: SLOTS, busy: SLOTS, placed: 0, service_ms: 100, age_ms: 0, bound: None };
 
     let no_slots = Occupancy { slots: 0, busy: 0, ..plausible };
-    let hours = Occupancy { service_ms: u16::MAX, ..plausible };
-    let endless = Occupancy { busy: u16::MAX, placed: u16::MAX, ..plausible };
+    let too_long = Occupancy { service_ms: u16::MAX, ..plausible };
+    let overloaded = Occupancy { busy: u16::MAX, placed: u16::MAX, ..plausible };
 
-    for occupancy in [no_slots, hours, endless] {
+    for occupancy in [no_slots, too_long, overloaded] {
         let mut room = Room::default();
         room.add(&occupancy);
         assert_eq!(occupancy.free(), 0);
-        assert_eq!(occupancy.least_ms(Rank::FIRST), if occupancy == endless { 100 } else { 0 });
+        assert_eq!(occupancy.least_ms(Rank::FIRST), if occupancy == overloaded { 100 } else { 0 });
         assert_eq!(room.free, 0);
     }
 }
--- a/crates/nutmegkeel_core/tests/l4/uneven.rs
+++ b/crates/nutmegkeel_core/tests/l4/uneven.rs
@@ -46,13 +46,13 @@
         fleet.late_per_mille(9..16)
     };
 
-    let (even, before, after) = (late(true, 100), late(false, 750), late(true, 750));
+    let (even, not_compared, compared) = (late(true, 100), late(false, 750), late(true, 750));
 
     println!(
-        "late per 1000 requests: {even} on even servers, {before} not compared, {after} compared"
+        "late per 1000 requests: {even} on even servers, {not_compared} not compared, {compared} compared"
     );
-    assert!(before > even + 30);
-    assert!(after <= even + 10);
+    assert!(not_compared > even + 30);
+    assert!(compared <= even + 10);
 }
 
 /// Slow servers recover at second 16, when they have almost no flows left. The few requests that
@@ -310,10 +310,12 @@
         sum * 10 / seeds
     };
 
-    let (before, after) = (longest(false), longest(true));
+    let (not_compared, compared) = (longest(false), longest(true));
 
-    println!("longest queue of a new server, times ten: {before} without comparison, {after} with");
-    assert!(after * 5 < before * 4);
+    println!(
+        "longest queue of a new server, times ten: {not_compared} without comparison, {compared} with"
+    );
+    assert!(compared * 5 < not_compared * 4);
 }
 
 #[test]
