--- a/crates/nutmegkeel_core/tests/l4/uneven.rs
+++ b/crates/nutmegkeel_core/tests/l4/uneven.rs
@@ -49,7 +49,7 @@
     let (even, not_compared, compared) = (late(true, 100), late(false, 750), late(true, 750));
 
     println!(
-        "late per 1000 requests: {even} on even servers, {not_compared} not compared, {compared} compared"
+        "late per 1000 requests: {even} even, {not_compared} not compared, {compared} compared"
     );
     assert!(not_compared > even + 30);
     assert!(compared <= even + 10);
@@ -313,7 +313,7 @@
     let (not_compared, compared) = (longest(false), longest(true));
 
     println!(
-        "longest queue of a new server, times ten: {not_compared} without comparison, {compared} with"
+        "longest queue of a new server, times 10: {not_compared} not compared, {compared} compared"
     );
     assert!(compared * 5 < not_compared * 4);
 }
