--- a/crates/nutmegkeel_core/src/l4/balancer.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer.rs
@@ -217,7 +217,7 @@
     fn detect_stall(&mut self, now: Time) {
         let gap = now.since(self.last_event);
         if gap > STALL_MS {
-            self.pool.forgive(gap);
+            self.pool.extend_timeouts(gap);
             self.reset_discovery();
         }
         self.last_event = now;
@@ -280,10 +280,10 @@
         reason: Reason,
         load: Load,
     ) -> Vec<Action> {
-        self.pool.heard(now, from, load);
+        self.pool.load_received(now, from, load);
         match reason {
             Reason::Leaving => self.pool.closed(from),
-            Reason::Cold => self.pool.filled(from),
+            Reason::Cold => self.pool.room_exhausted(from),
             _ => {}
         }
         if self.has_no_route(&head.flow) {
--- a/crates/nutmegkeel_core/src/l4/balancer/discovery.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/discovery.rs
@@ -76,7 +76,7 @@
     /// Returns whether no other balancer receives announcements of more agents. Guards against
     /// resetting the flows of an agent that does not know this balancer yet but is known to others.
     fn knows_as_many_as_peers(&self, now: Time) -> bool {
-        let own = self.pool.heard_of(now);
+        let own = self.pool.recently_seen_count(now);
         self.peer_states
             .fresh(now)
             .map(|(_, state)| state.agents)
@@ -86,7 +86,7 @@
 
     /// Returns whether agents are still appearing.
     pub(super) fn is_discovering(&self, now: Time) -> bool {
-        let span = if self.pool.is_young() { DISCOVERY_AFTER_START_MS } else { DISCOVERY_MS };
+        let span = if self.pool.is_recently_started() { DISCOVERY_AFTER_START_MS } else { DISCOVERY_MS };
         now.since(self.discovery.last_appeared) <= span
     }
 
--- a/crates/nutmegkeel_core/src/l4/balancer/introductions.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/introductions.rs
@@ -11,7 +11,7 @@
 use crate::clock::Time;
 use crate::l4::health::ANNOUNCE_MS;
 use crate::l4::message::{Gossip, Message};
-use crate::l4::placement::Telling;
+use crate::l4::placement::Notification;
 use crate::l4::roster::{LOCAL_SEND_INTERVAL_MS, SEND_INTERVAL_MS, Sent};
 use crate::placement::mix;
 
@@ -131,21 +131,21 @@
         let orders = self.latest_orders.revision();
         let digest = self.snapshot(now).digest;
         let sent = Sent { at: now, digest, orders };
-        let notification = self.pool.telling(agent, sent, pause_ms);
+        let notification = self.pool.notification(agent, sent, pause_ms);
         let receivers =
-            if notification == Telling::Addresses { self.receivers(now, is_local) } else { 0 };
+            if notification == Notification::Addresses { self.receivers(now, is_local) } else { 0 };
         let messages = match notification {
-            Telling::Nothing => return Vec::new(),
-            Telling::Addresses if self.is_turn(now, agent, receivers) => {
-                self.pool.note_told(agent, sent);
+            Notification::Nothing => return Vec::new(),
+            Notification::Addresses if self.is_turn(now, agent, receivers) => {
+                self.pool.record_sent(agent, sent);
                 self.address_lists(now)
             }
-            Telling::Sign => {
-                self.pool.note_told(agent, sent);
+            Notification::Heartbeat => {
+                self.pool.record_sent(agent, sent);
                 vec![self.heartbeat(now)]
             }
-            Telling::Addresses => {
-                self.pool.note_told(agent, Sent { digest: NO_ADDRESSES, ..sent });
+            Notification::Addresses => {
+                self.pool.record_sent(agent, Sent { digest: NO_ADDRESSES, ..sent });
                 vec![self.heartbeat(now)]
             }
         };
--- a/crates/nutmegkeel_core/src/l4/balancer/queries.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/queries.rs
@@ -69,7 +69,7 @@
     /// thousandths.
     #[must_use]
     pub fn sent_remote(&self) -> Option<u64> {
-        self.pool.sent_abroad()
+        self.pool.sent_remote()
     }
 
     /// Returns the status for operators.
--- a/crates/nutmegkeel_core/src/l4/balancer/search.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/search.rs
@@ -85,7 +85,7 @@
         flow: Flow,
         load: Load,
     ) -> Vec<Action> {
-        self.pool.heard(now, from, load);
+        self.pool.load_received(now, from, load);
         let entry = self.cache.entry(now, flow);
         entry.unanswered.retain(|agent| *agent != from);
         let was_queried = entry.queried.remove(&from);
@@ -242,7 +242,7 @@
         flow: Flow,
         load: Load,
     ) -> Vec<Action> {
-        self.pool.heard(now, from, load);
+        self.pool.load_received(now, from, load);
         let entry = self.cache.entry(now, flow);
         let is_new = entry.place != Some(Place::Held(from));
         let asked = entry.declined.len();
--- a/crates/nutmegkeel_core/src/l4/balancer/shortage.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/shortage.rs
@@ -10,15 +10,15 @@
 use crate::l4::note::{Cause, Note};
 use crate::l4::placement::{Choice, Need};
 use crate::l4::policy::Mechanism;
-use crate::l4::room::{CROWD_MS, Crowds, Rank, Returns, Shortage};
+use crate::l4::room::{CONGESTION_TOLERANCE_MS, Congestion, Rank, Retries, Shortage};
 use crate::l4::route::{Route, Service, Table, Urgency};
 use crate::l4::status;
 
 /// Known shortage of room, beyond what the agents report.
 #[derive(Debug, Default)]
 pub(super) struct Tracker {
-    congestion: Crowds,
-    retries: Returns,
+    congestion: Congestion,
+    retries: Retries,
     /// Degrees of urgency among the routes of each service.
     degrees: BTreeMap<Service, BTreeSet<Urgency>>,
 }
@@ -70,7 +70,7 @@
     /// Guards against an overload in which every opening is returned twice before it may wait,
     /// which takes three times as many messages when hosts are busiest.
     pub(super) fn has_no_free_slot(&self, now: Time, flow: &Flow, service: Service) -> bool {
-        self.shortage.congestion.is_certain(now, (flow.service, service))
+        self.shortage.congestion.is_confirmed(now, (flow.service, service))
     }
 
     /// Returns whether a first opening comes from a client that was refused before. Looked up once
@@ -108,13 +108,13 @@
         }
         let place = (head.flow.service, need.service);
         if self.pool.is_free(now, choice.agent) {
-            self.shortage.congestion.note_free(place);
+            self.shortage.congestion.record_free(place);
             return None;
         }
-        let lasted_ms = self.shortage.congestion.note_full(now, place);
+        let lasted_ms = self.shortage.congestion.record_full(now, place);
         let entry = self.cache.entry(now, head.flow);
         let waited_ms = now.since(entry.started_at);
-        if lasted_ms <= CROWD_MS || entry.is_retry == Some(true) {
+        if lasted_ms <= CONGESTION_TOLERANCE_MS || entry.is_retry == Some(true) {
             return None;
         }
         let rank = if self.identity.policy.uses(Mechanism::Urgency) {
@@ -122,7 +122,7 @@
         } else {
             Rank::FIRST
         };
-        let soonest = self.pool.soonest(now, need, rank);
+        let soonest = self.pool.earliest_answer(now, need, rank);
         let left_ms = route.deadline_ms.saturating_sub(waited_ms);
         // An agent that is still unknown here may have room.
         let is_ruled_out = soonest.servers > 0 && soonest.least_ms > left_ms;
--- a/crates/nutmegkeel_core/src/l4/balancer/snapshot.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/snapshot.rs
@@ -44,6 +44,6 @@
     fn take_snapshot(&self, now: Time) -> Snapshot {
         let balancers = self.known(now);
         let digest = roster::digest(balancers.iter().copied());
-        Snapshot { at: now, balancers, digest, agents: self.pool.heard_of(now) }
+        Snapshot { at: now, balancers, digest, agents: self.pool.recently_seen_count(now) }
     }
 }
--- /dev/null
+++ b/crates/nutmegkeel_core/src/l4/placement/liveness.rs
@@ -0,0 +1,139 @@
+//! Liveness of agents: which ones are alive, which are lost, and what follows from that.
+
+use std::collections::BTreeMap;
+use std::net::Ipv4Addr;
+use std::sync::Arc;
+
+use super::Pool;
+use super::candidate::{Candidate, Visibility};
+use crate::clock::Time;
+use crate::l4::health::{FORGET_MS, Health, LOST_MS, UNREPORTED_MS};
+use crate::l4::message::Load;
+
+/// Number of announcements up to which an agent counts as recently started. It corresponds to one
+/// to three seconds, because the number also advances with each tick while a balancer has not
+/// answered.
+const RECENT_START_TICKS: u64 = 10;
+
+impl Pool {
+    /// Returns until when reports on an agent could be received. An agent in another failure domain
+    /// announces itself here only at times; otherwise summaries report how long ago it was seen.
+    ///
+    /// An agent is thus judged by its own silence only. It is not declared dead, and its flows are
+    /// not reset, because the balancers that report on it are gone, or have just restarted and omit
+    /// some agents.
+    pub(super) fn visibility(&self, now: Time, candidate: &Candidate) -> Visibility {
+        let own = self.domain.as_ref();
+        if own.is_none_or(|own| *own == candidate.announcement.domain) {
+            return Visibility { until: now, is_interrupted: false };
+        }
+        let until = candidate.last_seen.max(candidate.reported_at);
+        match now.since(until) {
+            0..=UNREPORTED_MS => Visibility { until, is_interrupted: false },
+            interrupted_ms if interrupted_ms <= LOST_MS => {
+                Visibility { until, is_interrupted: true }
+            }
+            _ => Visibility { until: now, is_interrupted: false },
+        }
+    }
+
+    pub(super) fn health_of(&self, now: Time, candidate: &Candidate) -> Health {
+        candidate.health(self.visibility(now, candidate))
+    }
+
+    /// Applies the load that an agent sent with an answer.
+    pub fn load_received(&mut self, now: Time, from: Ipv4Addr, load: Load) {
+        if let Some(candidate) = self.agents.get_mut(&from) {
+            candidate.last_seen = now;
+            candidate.is_silence_reported = false;
+            candidate.is_lateness_reported = false;
+            candidate.load_received_at = now;
+            candidate.load = load;
+            candidate.placed_since = 0;
+            candidate.count_missing(now);
+        }
+    }
+
+    /// Returns the agents that became silent without notice since the last call.
+    pub fn newly_silent(&mut self, now: Time) -> Vec<Ipv4Addr> {
+        let is_new = |candidate: &Candidate| {
+            !candidate.is_silence_reported && self.health_of(now, candidate) == Health::Silent
+        };
+        let silent = self.find_agents(is_new);
+        self.update(&silent, |candidate| candidate.is_silence_reported = true);
+        silent
+    }
+
+    /// Returns the health of an agent; `None` if it is not known.
+    #[must_use]
+    pub fn health(&self, now: Time, agent: Ipv4Addr) -> Option<Health> {
+        self.agents.get(&agent).map(|candidate| self.health_of(now, candidate))
+    }
+
+    pub(super) fn recently_seen(&self, now: Time) -> impl Iterator<Item = &Candidate> {
+        self.agents.values().filter(move |one| self.health_of(now, one) <= Health::Late)
+    }
+
+    /// Returns the number of agents seen recently.
+    #[must_use]
+    pub fn recently_seen_count(&self, now: Time) -> usize {
+        self.recently_seen(now).count()
+    }
+
+    /// Returns the number of agents seen recently, by failure domain.
+    #[must_use]
+    pub fn domains(&self, now: Time) -> BTreeMap<Arc<str>, usize> {
+        let mut domains = BTreeMap::new();
+        for one in self.recently_seen(now) {
+            *domains.entry(Arc::clone(&one.announcement.domain)).or_default() += 1;
+        }
+        domains
+    }
+
+    /// Returns whether less than half of the agents seen within a minute are seen now. It is then
+    /// more likely that this process is cut off than that all of them died at once.
+    #[must_use]
+    pub fn is_cut_off(&self, now: Time) -> bool {
+        self.recently_seen_count(now) * 2 < self.agents.len() || self.agents.is_empty()
+    }
+
+    /// Returns whether a flow that no agent holds does not exist. An agent that is late or
+    /// restarting may hold it if it has announced a backend server. One that became silent without
+    /// notice is dead or cut off, and its flows are lost either way, unless it is this process that
+    /// is cut off.
+    #[must_use]
+    pub fn is_conclusive(&self, now: Time) -> bool {
+        let undecided = |candidate: &Candidate| {
+            let visibility = self.visibility(now, candidate);
+            candidate.may_hold(visibility) && candidate.health(visibility) != Health::Fresh
+        };
+        !self.is_cut_off(now) && !self.agents.values().any(undecided)
+    }
+
+    /// Returns whether all known agents have started recently, as after a power failure.
+    #[must_use]
+    pub fn is_recently_started(&self) -> bool {
+        self.agents.values().all(|candidate| candidate.announcement.number <= RECENT_START_TICKS)
+    }
+
+    /// Returns whether an agent may hold flows.
+    #[must_use]
+    pub fn may_hold(&self, now: Time, agent: Ipv4Addr) -> bool {
+        self.agents.get(&agent).is_some_and(|one| one.may_hold(self.visibility(now, one)))
+    }
+
+    /// Forgets agents that have been silent for longer than any flow lives.
+    pub fn forget(&mut self, now: Time) {
+        let gone = self.find_agents(|candidate| now.since(candidate.last_seen) >= FORGET_MS);
+        gone.into_iter().for_each(|agent| self.remove(agent));
+    }
+
+    /// Extends all timeouts by a period in which this process did not run and could receive
+    /// nothing.
+    pub fn extend_timeouts(&mut self, span_ms: u64) {
+        for candidate in self.agents.values_mut() {
+            candidate.last_seen = candidate.last_seen.after(span_ms);
+            candidate.reported_at = candidate.reported_at.after(span_ms);
+        }
+    }
+}
--- a/crates/nutmegkeel_core/src/l4/placement/order.rs
+++ b/crates/nutmegkeel_core/src/l4/placement/order.rs
@@ -1,4 +1,5 @@
-//! The order of agents for a flow: which get a new one, and which are asked for an open one.
+//! Order of the agents for a flow: which ones a new flow may go to, and which are asked for an open
+//! one.
 
 use std::cmp::Reverse;
 use std::net::Ipv4Addr;
@@ -9,24 +10,25 @@
 use crate::l4::route::Service;
 use crate::placement::{Key, mix};
 
-/// Agents of the client's own failure domain that a new flow chooses from. Two would leave one bad
-/// choice in four at 80% load; with more, a search asks more agents before it meets the right one.
-const NEAR: usize = 3;
+/// Number of agents in the client's failure domain that a new flow chooses from. With two, one
+/// choice in four is bad at 80% load; with more, a search asks more agents before the right one.
+const LOCAL_CANDIDATES: usize = 3;
 
-/// Agents of other failure domains that a new flow chooses from besides.
-const FAR: usize = 2;
+/// Number of agents in other failure domains that a new flow also chooses from.
+const REMOTE_CANDIDATES: usize = 2;
 
 impl Pool {
-    /// The best agent for a new flow among the first of its order, without those that were tried; when
-    /// all of these were tried, the best of all others. A cold one that has been given what it bears comes
-    /// last.
+    /// Chooses the agent with the lowest expected load among the first ones of the flow's order
+    /// that have not been tried; if all of these were tried, among all others. Cold agents without
+    /// room come last.
     #[must_use]
     pub fn choose(&self, now: Time, need: &Need) -> Option<Choice> {
         let Need { key, service, domain, tried, .. } = *need;
-        let takers = self.takers(now, service);
-        let takes = |candidate: &Candidate| self.takes(now, candidate, need, takers);
-        let open = || self.members(Some(service)).filter(|(_, candidate)| takes(candidate));
-        let ranked = open().map(|(agent, candidate)| Ranked::of(key, agent, candidate, domain));
+        let eligible_state = self.eligible_state(now, service);
+        let accepts = |candidate: &Candidate| self.accepts(now, candidate, need, eligible_state);
+        let accepting = || self.members(Some(service)).filter(|(_, candidate)| accepts(candidate));
+        let ranked =
+            accepting().map(|(agent, candidate)| Ranked::of(key, agent, candidate, domain));
         let weights = Weights::of(need.kind);
         let pressure = |candidate: &Candidate| {
             candidate.pressure(weights, domain) + self.surcharge(service, candidate)
@@ -34,24 +36,24 @@
         let untried = |agent: &Ipv4Addr| !tried.contains(agent);
         let first = first_of(ranked).into_iter().filter(untried);
         let first = first.filter_map(|agent| Some((agent, self.agents.get(&agent)?)));
-        // Of equals the first in the order is taken, so that all balancers agree.
-        let first = first.filter(|(_, candidate)| !candidate.is_full());
+        // Of equal loads the first in the order is taken, so that all balancers agree.
+        let first = first.filter(|(_, candidate)| !candidate.is_room_exhausted());
         let first = first.min_by_key(|(_, candidate)| pressure(candidate));
         let least = |(agent, candidate): &(Ipv4Addr, &Candidate)| {
             let ranked = Ranked::of(key, *agent, candidate, domain);
-            (candidate.is_full(), pressure(candidate), Reverse(ranked))
+            (candidate.is_room_exhausted(), pressure(candidate), Reverse(ranked))
         };
-        let any = || open().filter(|(agent, _)| untried(agent)).min_by_key(least);
+        let any = || accepting().filter(|(agent, _)| untried(agent)).min_by_key(least);
         let (agent, candidate) = first.or_else(any)?;
         Some(candidate.choice(now, agent))
     }
 
-    /// The agents that are asked first for a flow: those that its opening was offered to before all others,
-    /// of each of the given services, or of each service there is if none is given.
+    /// Returns the agents that are asked first for a flow: those that its opening was offered to
+    /// before all others, for each of the given services, or for all services if none is given.
     ///
-    /// Guards against searches that ask a whole failure domain before the two agents of other domains
-    /// that openings go to: with 22 agents in each of five domains that is 20 questions for two flows in
-    /// five, each a round trip while the client waits.
+    /// They include the two agents of other failure domains that openings go to. If the whole own
+    /// domain were asked before these, two flows in five would cost a round trip per agent of the
+    /// domain while the client waits.
     #[must_use]
     pub fn search_first(&self, key: Key, services: &[Service], domain: &str) -> Vec<Ipv4Addr> {
         let given = services.iter().map(|service| Some(*service));
@@ -63,8 +65,9 @@
         given.chain(all).flat_map(first).collect()
     }
 
-    /// All agents in the order in which they are asked for a flow: after [`Self::search_first`] those of the
-    /// given services, then the others, because a route may have moved since the flow was opened.
+    /// Returns all agents in the order in which they are asked for a flow: [`Self::search_first`],
+    /// then the other agents of the given services, then all others, because the route may have
+    /// changed since the flow was opened.
     #[must_use]
     pub fn search(&self, key: Key, services: &[Service], domain: &str) -> Vec<Ipv4Addr> {
         let first = self.search_first(key, services, domain);
@@ -80,36 +83,37 @@
     }
 }
 
-/// Place of an agent in the order for one key: the client's own failure domain first, then the higher hash.
+/// Rank of an agent in the order for one key: agents in the client's failure domain first, then by
+/// descending hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Ranked {
-    pub(super) near: bool,
+    pub(super) is_local: bool,
     weight: u64,
     pub(super) agent: Ipv4Addr,
 }
 
 impl Ranked {
     pub(super) fn of(key: Key, agent: Ipv4Addr, candidate: &Candidate, domain: &str) -> Self {
-        let near = *candidate.announcement.domain == *domain;
+        let is_local = *candidate.announcement.domain == *domain;
         let weight = mix(key.number() ^ mix(u64::from(agent.to_bits())));
-        Self { near, weight, agent }
+        Self { is_local, weight, agent }
     }
 }
 
-/// The first agents of the client's own failure domain, then the first of others.
+/// Returns the first agents in the client's failure domain, then the first in other domains.
 fn first_of(ranked: impl Iterator<Item = Ranked>) -> Vec<Ipv4Addr> {
-    let (mut near, mut far) = (Vec::new(), Vec::new());
+    let (mut local, mut remote) = (Vec::new(), Vec::new());
     for one in ranked {
-        if one.near {
-            insert_among_first(&mut near, NEAR, one);
+        if one.is_local {
+            insert_among_first(&mut local, LOCAL_CANDIDATES, one);
         } else {
-            insert_among_first(&mut far, FAR, one);
+            insert_among_first(&mut remote, REMOTE_CANDIDATES, one);
         }
     }
-    near.into_iter().chain(far).map(|one| one.agent).collect()
+    local.into_iter().chain(remote).map(|one| one.agent).collect()
 }
 
-/// Inserts into a list in descending order that keeps its first `most`.
+/// Inserts into a descending list that keeps its first `most` entries.
 fn insert_among_first(first: &mut Vec<Ranked>, most: usize, one: Ranked) {
     let place = first.partition_point(|other| *other > one);
     if place < most {
--- a/crates/nutmegkeel_core/tests/l4/summary.rs
+++ b/crates/nutmegkeel_core/tests/l4/summary.rs
@@ -143,7 +143,7 @@
 fn a_summary_does_not_restore_an_older_load() {
     let mut pool = pool();
     send_summaries(&mut pool, 3_000, 3_000);
-    pool.heard(at(3_250), host(1), load(9, 9));
+    pool.load_received(at(3_250), host(1), load(9, 9));
 
     let change = pool.reported(at(3_300), &summary(Vec::new()), &report(12, 200));
 
--- a/crates/nutmegkeel_core/tests/l4/uneven.rs
+++ b/crates/nutmegkeel_core/tests/l4/uneven.rs
@@ -10,7 +10,7 @@
 use crate::fixture::{BALANCER, at, flow, host, identity, load, need, word};
 use crate::uneven_fleet::{Fleet, Random, SERVERS};
 
-/// Servers of one service: their numbers, beginning with one, and their times.
+/// Announces servers of one service, numbered from one, with these service times.
 fn announce(pool: &mut Pool, now: u64, times: &[u16]) {
     for (number, service_ms) in (1..).zip(times) {
         let load = Load { service_ms: *service_ms, ..load(1, 10) };
@@ -18,52 +18,57 @@
     }
 }
 
-fn judged(now: u64, times: &[u16]) -> Pool {
+fn compared_pool(now: u64, times: &[u16]) -> Pool {
     let mut pool = Pool::default();
     announce(&mut pool, now, times);
     pool.compare_speeds(at(now));
     pool
 }
 
-fn slow(pool: &Pool) -> Vec<u8> {
+fn slow_agents(pool: &Pool) -> Vec<u8> {
     pool.slow().keys().map(|agent| agent.octets()[3]).collect()
 }
 
-fn slowed_down(fleet: &mut Fleet, step: usize, percent: u64) {
+fn slow_down(fleet: &mut Fleet, step: usize, percent: u64) {
     (0..SERVERS).step_by(step).for_each(|server| fleet.set_percent(server, percent));
 }
 
-/// One server in five becomes 7.5 times slower at second 8 and says that it is well. Its clients wait, and new
-/// flows went on coming to it, because it has no more of them than its peers. Compared with its peers, it gets
-/// what it can do, and requests of new flows are late hardly more often than among even servers.
+/// One server in five becomes 7.5 times slower at second 8 and reports that it is healthy.
+/// Placement by number of flows still sends it new ones, and their requests are late. With the
+/// comparison, these are late hardly more often than among even servers.
 #[test]
 fn new_flows_go_to_servers_that_are_not_slow() {
-    let late = |compares, percent| {
-        let mut fleet = Fleet::open(1, 25, compares);
+    let late = |compares_speeds, percent| {
+        let mut fleet = Fleet::open(1, 25, compares_speeds);
         fleet.run(8_000);
-        slowed_down(&mut fleet, 5, percent);
+        slow_down(&mut fleet, 5, percent);
         fleet.run(20_000);
         fleet.late_per_mille(9..16)
     };
 
-    let (even, before, after) = (late(true, 100), late(false, 750), late(true, 750));
+    let (even, not_compared, compared) = (late(true, 100), late(false, 750), late(true, 750));
 
-    println!("late of 1000 requests of new flows: {even} even, {before} before, {after} after");
-    assert!(before > even + 30);
-    assert!(after <= even + 10);
+    println!(
+        "late per 1000 requests: {even} even, {not_compared} not compared, {compared} compared"
+    );
+    assert!(not_compared > even + 30);
+    assert!(compared <= even + 10);
 }
 
-/// The slow servers of the day above recover at second 16. They have next to no flows by then, and what they
-/// still get must show it soon, or a fifth of the servers would idle for long.
+/// Slow servers recover at second 16, when they have almost no flows left. The few requests that
+/// they still get must show it soon; otherwise a fifth of the servers stays idle.
 #[test]
-fn a_server_that_recovers_counts_in_full_within_seconds() {
+fn a_recovered_server_counts_in_full_within_seconds() {
     let mut fleet = Fleet::open(1, 25, true);
     fleet.run(8_000);
-    slowed_down(&mut fleet, 5, 750);
+    slow_down(&mut fleet, 5, 750);
     fleet.run(16_000);
     let before = fleet.slow();
-    assert!(fleet.verdicts.iter().all(|(_, verdict)| verdict.is_slow), "none is cleared before");
-    slowed_down(&mut fleet, 5, 100);
+    assert!(
+        fleet.verdicts.iter().all(|(_, verdict)| verdict.is_slow),
+        "no server recovers before second 16"
+    );
+    slow_down(&mut fleet, 5, 100);
 
     fleet.run(18_000);
     let after_two = fleet.slow();
@@ -77,27 +82,27 @@
     assert_eq!(fleet.slow(), 0);
 }
 
-/// Two classes of work on one service, and a few requests in a hundred take seven times as long. A healthy
-/// server that takes a run of those for slowness would lose its flows for nothing.
+/// One service has two classes of requests, and a few percent of them take seven times as long. A
+/// healthy server must not count as slow because of a random run of these.
 #[test]
-fn a_mix_of_work_makes_no_healthy_server_slow() {
+fn a_healthy_server_with_mixed_requests_is_not_slow() {
     let mut fleet = Fleet::open(3, 1, true);
 
     fleet.run(500_000);
 
     let slow: Vec<_> = fleet.verdicts.iter().filter(|(_, verdict)| verdict.is_slow).collect();
-    println!("10,000 judgements of {SERVERS} servers: {} false ones", slow.len());
+    println!("10,000 comparisons of {SERVERS} servers: {} false verdicts", slow.len());
     assert!(slow.is_empty(), "{slow:?}");
 }
 
-/// The times of a slow server spread widely: some of its answers come as fast as a usual server's. Cleared by a few
-/// of those, it would draw flows again while it is slow.
+/// The service times of a slow server vary widely, and some are as short as a usual server's. If a
+/// few of these cleared it, it would attract flows while it is slow.
 #[test]
-fn a_few_fast_answers_clear_no_slow_server() {
+fn a_slow_server_is_not_cleared_by_a_few_fast_answers() {
     let mut fleet = Fleet::open(1, 4, true);
     fleet.work_ms = Random::broad_work_ms;
     fleet.run(8_000);
-    slowed_down(&mut fleet, 5, 750);
+    slow_down(&mut fleet, 5, 750);
 
     fleet.run(16_000);
 
@@ -106,10 +111,10 @@
 }
 
 #[test]
-fn where_all_are_slow_none_is() {
+fn no_server_is_slow_where_all_are_slower() {
     let mut fleet = Fleet::open(4, 1, true);
     fleet.run(8_000);
-    slowed_down(&mut fleet, 1, 400);
+    slow_down(&mut fleet, 1, 400);
 
     fleet.run(12_000);
 
@@ -118,92 +123,94 @@
 
 /// Half of the servers become slow. The others cannot take the load of all of them.
 #[test]
-fn at_most_a_third_counts_as_slow_and_those_are_the_slowest() {
+fn at_most_the_slowest_third_counts_as_slow() {
     let times = [60, 60, 60, 60, 60, 400, 300, 500, 200];
 
-    let pool = judged(0, &times);
+    let pool = compared_pool(0, &times);
 
-    assert_eq!(slow(&pool), [6, 7, 8]);
+    assert_eq!(slow_agents(&pool), [6, 7, 8]);
 }
 
 #[test]
 fn of_two_servers_none_is_slow() {
-    assert!(slow(&judged(0, &[60, 600])).is_empty());
+    assert!(slow_agents(&compared_pool(0, &[60, 600])).is_empty());
 }
 
-/// Twice the usual time is still in time, and a few times very little is nothing to a client.
+/// Twice the usual service time is still in time, and a multiple of a few milliseconds is
+/// insignificant.
 #[test]
-fn a_server_is_not_slow_for_little() {
-    assert!(slow(&judged(0, &[60, 60, 60, 140])).is_empty());
-    assert!(slow(&judged(0, &[1, 1, 1, 5])).is_empty());
-    assert_eq!(slow(&judged(0, &[60, 60, 60, 150])), [4]);
+fn a_small_difference_makes_no_server_slow() {
+    assert!(slow_agents(&compared_pool(0, &[60, 60, 60, 140])).is_empty());
+    assert!(slow_agents(&compared_pool(0, &[1, 1, 1, 5])).is_empty());
+    assert_eq!(slow_agents(&compared_pool(0, &[60, 60, 60, 150])), [4]);
 }
 
-/// A time that wavers about the bound would move the new flows of all balancers to and fro.
+/// A service time that varies about the bound would move the new flows of all balancers back and
+/// forth.
 #[test]
 fn a_slow_server_stays_slow_until_it_is_near_its_peers() {
-    let mut pool = judged(0, &[60, 60, 60, 160]);
+    let mut pool = compared_pool(0, &[60, 60, 60, 160]);
 
     for (now, service_ms) in (300..).step_by(300).zip([140, 155, 120, 149, 100]) {
         announce(&mut pool, now, &[60, 60, 60, service_ms]);
         assert!(pool.compare_speeds(at(now)).is_empty());
-        assert_eq!(slow(&pool), [4]);
+        assert_eq!(slow_agents(&pool), [4]);
     }
 
     announce(&mut pool, 3_000, &[60, 60, 60, 80]);
     pool.compare_speeds(at(3_000));
-    assert!(slow(&pool).is_empty());
+    assert!(slow_agents(&pool).is_empty());
 }
 
-/// Of four servers one may count as slow, and two are, by turns the slower one.
+/// One of four servers may count as slow. Two are, and each is at times the slower one.
 #[test]
-fn two_slow_ones_do_not_take_turns() {
-    let mut pool = judged(0, &[60, 60, 300, 310]);
+fn two_slow_servers_do_not_alternate() {
+    let mut pool = compared_pool(0, &[60, 60, 300, 310]);
 
     for now in (300..6_000).step_by(300) {
-        let swing = if now % 600 == 0 { 60 } else { 0 };
-        announce(&mut pool, now, &[60, 60, 340, 310 + swing]);
+        let variation = if now % 600 == 0 { 60 } else { 0 };
+        announce(&mut pool, now, &[60, 60, 340, 310 + variation]);
         assert!(pool.compare_speeds(at(now)).is_empty());
     }
 
-    assert_eq!(slow(&pool), [4]);
+    assert_eq!(slow_agents(&pool), [4]);
 }
 
-/// Reports are lost for two seconds. A server that was slow may still be, and one that was not is not judged by
-/// what it told before.
+/// Reports are lost for two seconds. A server that was slow may still be slow, and one that was not
+/// is not judged by an old report.
 #[test]
 fn a_stale_report_neither_makes_nor_clears_a_slow_server() {
-    let mut pool = judged(0, &[60, 60, 60, 60, 300, 60]);
+    let mut pool = compared_pool(0, &[60, 60, 60, 60, 300, 60]);
     let usual = |pool: &mut Pool, now| announce(pool, now, &[60, 60, 60]);
-    let told = Load { service_ms: 400, ..load(1, 10) };
-    pool.announced(at(100), host(6), word(200, State::Ready, told));
+    let load = Load { service_ms: 400, ..load(1, 10) };
+    pool.announced(at(100), host(6), word(200, State::Ready, load));
     usual(&mut pool, 1_500);
 
     let verdicts = pool.compare_speeds(at(1_500));
 
     assert!(verdicts.is_empty());
-    assert_eq!(slow(&pool), [5]);
+    assert_eq!(slow_agents(&pool), [5]);
 }
 
-/// A report of no time, or of hours, must neither draw flows nor starve anybody.
+/// A report of no service time, or of hours, must neither attract flows nor keep them from others.
 #[test]
-fn an_absurd_report_changes_nothing() {
-    let pool = judged(0, &[60, 60, 60, 0, u16::MAX]);
+fn an_implausible_report_changes_nothing() {
+    let pool = compared_pool(0, &[60, 60, 60, 0, u16::MAX]);
 
-    assert!(slow(&pool).is_empty());
+    assert!(slow_agents(&pool).is_empty());
 }
 
-/// A slow server with no slots is a false report, too: it must go on getting something.
+/// A slow server that reports no slots must still get some requests.
 #[test]
-fn a_report_without_slots_starves_nobody() {
+fn a_slow_server_without_slots_still_gets_flows() {
     let mut pool = Pool::default();
     for number in 1..=3 {
-        let told = Load { service_ms: 60, ..load(1, 100) };
-        pool.announced(at(0), host(number), word(1, State::Ready, told));
+        let load = Load { service_ms: 60, ..load(1, 100) };
+        pool.announced(at(0), host(number), word(1, State::Ready, load));
     }
-    let told = Load { service_ms: 600, ..load(0, 0) };
-    let said = Announcement { slots: 0, ..word(1, State::Ready, told) };
-    pool.announced(at(0), host(4), said);
+    let load = Load { service_ms: 600, ..load(0, 0) };
+    let announcement = Announcement { slots: 0, ..word(1, State::Ready, load) };
+    pool.announced(at(0), host(4), announcement);
     pool.compare_speeds(at(0));
 
     let chosen: BTreeSet<_> = (0..50)
@@ -211,44 +218,46 @@
         .map(|choice| choice.agent)
         .collect();
 
-    assert_eq!(slow(&pool), [4]);
+    assert_eq!(slow_agents(&pool), [4]);
     assert!(chosen.contains(&host(4)));
 }
 
-/// The process beside a slow server starts again and knows nothing yet: perhaps another server runs there.
+/// The agent of a slow server restarts and reports no service time yet. Its server may be another
+/// one.
 #[test]
-fn a_new_agent_is_not_judged_by_what_the_old_one_told() {
-    let mut pool = judged(0, &[60, 60, 60, 300]);
-    let said = Announcement { incarnation: 2, ..word(1, State::Ready, load(0, 10)) };
-    pool.announced(at(300), host(4), said);
+fn a_new_agent_does_not_inherit_the_slow_state() {
+    let mut pool = compared_pool(0, &[60, 60, 60, 300]);
+    let announcement = Announcement { incarnation: 2, ..word(1, State::Ready, load(0, 10)) };
+    pool.announced(at(300), host(4), announcement);
 
     pool.compare_speeds(at(300));
 
-    assert!(slow(&pool).is_empty());
+    assert!(slow_agents(&pool).is_empty());
 }
 
-/// A server that starts is slow for some seconds. It says so, and is given what it bears.
+/// A server is slow for some seconds after its start. It reports that it is cold and its room is
+/// limited.
 #[test]
 fn a_cold_server_is_not_slow() {
     let mut pool = Pool::default();
     announce(&mut pool, 0, &[60, 60, 60]);
-    let told = Load { service_ms: 300, ..load(0, 0) };
-    let said = Announcement { cold: true, ..word(1, State::Ready, told) };
-    pool.announced(at(0), host(4), said);
+    let load = Load { service_ms: 300, ..load(0, 0) };
+    let announcement = Announcement { cold: true, ..word(1, State::Ready, load) };
+    pool.announced(at(0), host(4), announcement);
 
     pool.compare_speeds(at(0));
 
-    assert!(slow(&pool).is_empty());
+    assert!(slow_agents(&pool).is_empty());
 }
 
 /// A slow server with a fifth of its peers' flows is as full as they are.
 #[test]
-fn a_slow_server_gets_flows_by_its_speed() {
+fn a_slow_server_gets_flows_in_proportion_to_its_speed() {
     let chosen_with = |flows| {
         let mut pool = Pool::default();
         announce(&mut pool, 0, &[60, 60, 60]);
-        let told = Load { service_ms: 180, ..load(0, flows) };
-        pool.announced(at(0), host(4), word(1, State::Ready, told));
+        let load = Load { service_ms: 180, ..load(0, flows) };
+        pool.announced(at(0), host(4), word(1, State::Ready, load));
         pool.compare_speeds(at(0));
         let chosen = (0..100)
             .filter_map(|port| pool.choose(at(1), &need(flow(port).key(), Kind::Idempotent, &[])));
@@ -259,41 +268,41 @@
     assert_eq!(chosen_with(4), 0);
 }
 
-/// A crowd fills the usual servers. The slots of a slow one, which it has free because it is to have little, passed
-/// for room, and the openings of all balancers that found no other went there to be late.
+/// The usual servers are full under overload. The free slots of a slow server, which has few flows
+/// on purpose, counted as room, and the openings of all balancers went there and were late.
 #[test]
-fn a_crowd_does_not_fill_the_slots_of_a_slow_server() {
+fn an_overload_does_not_fill_the_slots_of_a_slow_server() {
     let chosen_with = |busy| {
         let mut pool = Pool::default();
         for number in 1..=3 {
             let full = Load { service_ms: 60, ..load(4, 8) };
             pool.announced(at(0), host(number), word(1, State::Ready, full));
         }
-        let told = Load { service_ms: 450, ..load(busy, 8) };
-        pool.announced(at(0), host(4), word(1, State::Ready, told));
+        let load = Load { service_ms: 450, ..load(busy, 8) };
+        pool.announced(at(0), host(4), word(1, State::Ready, load));
         pool.compare_speeds(at(0));
         let need = need(flow(1).key(), Kind::Idempotent, &[]);
         pool.choose_free(at(1), &need).map(|choice| choice.agent)
     };
 
-    assert_eq!(chosen_with(0), Some(host(4)), "one request shows whether it has recovered");
+    assert_eq!(chosen_with(0), Some(host(4)), "one request must show whether it has recovered");
     assert_ne!(chosen_with(1), Some(host(4)));
 }
 
-/// A server that has just come has no flows. All balancers choose by flows, and each learns only with the next
-/// report what the others sent: the first requests of all these flows met in its queue.
+/// A new server has no flows. All balancers place by the number of flows and learn of the others'
+/// flows only with the next report, so the first requests of all these flows queued there.
 #[test]
 fn an_empty_server_fills_up_without_a_queue() {
-    let longest = |compares| {
+    let longest = |compares_speeds| {
         let queue = |seed| {
-            let mut fleet = Fleet::open(seed, 25, compares);
+            let mut fleet = Fleet::open(seed, 25, compares_speeds);
             fleet.run(6_000);
             fleet.replace(7);
-            let moments = (6_050..7_200).step_by(50);
-            moments
+            let times = (6_050..7_200).step_by(50);
+            times
                 .map(|now| {
                     fleet.run(now);
-                    u64::from(fleet.at_server(7))
+                    u64::from(fleet.in_progress(7))
                 })
                 .max()
         };
@@ -301,10 +310,12 @@
         sum * 10 / seeds
     };
 
-    let (before, after) = (longest(false), longest(true));
+    let (not_compared, compared) = (longest(false), longest(true));
 
-    println!("longest queue of ten times an empty server: {before} before, {after} after");
-    assert!(after * 5 < before * 4);
+    println!(
+        "longest queue of a new server, times 10: {not_compared} not compared, {compared} compared"
+    );
+    assert!(compared * 5 < not_compared * 4);
 }
 
 #[test]
@@ -336,13 +347,13 @@
 }
 
 #[test]
-fn operators_are_told_of_a_slow_server() {
+fn a_slow_server_is_logged() {
     let policy = Policy::default().under([Condition::HiddenFaults]);
 
     let (balancer, verdicts) = balancer_with_a_slow_server(policy);
 
-    let told: Vec<_> = verdicts.iter().map(|one| (one.agent, one.is_slow)).collect();
-    assert_eq!(told, [(host(4), true)]);
+    let logged: Vec<_> = verdicts.iter().map(|one| (one.agent, one.is_slow)).collect();
+    assert_eq!(logged, [(host(4), true)]);
     assert_eq!(verdicts[0].times.service_ms, 450);
     assert_eq!(verdicts[0].times.usual_ms, 60);
     assert_eq!(balancer.status(at(400)).slow.into_keys().collect::<Vec<_>>(), [host(4)]);
@@ -350,9 +361,10 @@
     assert_eq!(evenness.collect::<Vec<_>>(), [(250, 250)]);
 }
 
-/// Where nobody says that servers may become slow in silence, or the mechanism is switched off, nobody is judged.
+/// Without the condition of hidden faults, or with the mechanism disabled, no server counts as
+/// slow.
 #[test]
-fn without_the_mechanism_nobody_is_judged() {
+fn without_the_mechanism_no_server_counts_as_slow() {
     let off = Policy::without([Mechanism::UnevenServers]).under([Condition::HiddenFaults]);
     for policy in [Policy::default(), off] {
         let (balancer, verdicts) = balancer_with_a_slow_server(policy);
--- a/crates/nutmegkeel_core/tests/l4/uneven_fleet.rs
+++ b/crates/nutmegkeel_core/tests/l4/uneven_fleet.rs
@@ -1,4 +1,4 @@
-//! Backend servers of one service, the meters beside them and the balancers' views of them, in virtual time.
+//! Backend servers of one service, their speed meters and the balancers' pools, in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,13 +14,13 @@
 const OBJECTIVE_MS: u64 = 400;
 const REQUESTS: u8 = 3;
 pub(crate) const SERVERS: u8 = 52;
-/// Half of what the servers can do.
+/// Half of the servers' capacity.
 const FLOWS_PER_S: u64 = 420;
 const DOMAINS: [&str; 4] = ["osu", "tema", "ho", "wa"];
 const REPORT_MS: u64 = 300;
 const REVIEW_MS: u64 = 50;
 
-/// Numbers that a seed determines.
+/// Pseudo-random numbers from a seed.
 pub(crate) struct Random(pub(crate) u64);
 
 impl Random {
@@ -35,14 +35,16 @@
         self.next() % most
     }
 
-    /// Work of two classes, 47 and 61 ms on the mean, of which three in a hundred take seven times as long.
+    /// Draws the work of a request of one of two classes, with means of 47 and 61 ms. Three percent
+    /// of the requests take seven times as long.
     pub(crate) fn work_ms(&mut self) -> u64 {
         let class_ms = if self.below(9) < 7 { 47 } else { 61 };
         let tail = if self.below(100) < 3 { 7 } else { 1 };
         class_ms * tail * (70 + self.below(61)) / 100
     }
 
-    /// Work that spreads as widely as that of servers usually does at most: 59 ms on the mean, exponential.
+    /// Draws the work of a request from an exponential distribution with a mean of 59 ms, the
+    /// widest that servers usually have.
     pub(crate) fn broad_work_ms(&mut self) -> u64 {
         let point = (self.below(1_000_000) + 1) as f64 / 1_000_000.0;
         (-59.0 * point.ln()).round() as u64 + 1
@@ -51,9 +53,9 @@
 
 struct Server {
     free_at: [u64; SLOTS],
-    /// Part of the usual time that it takes, in percent.
+    /// Service time in percent of the usual one.
     percent: u64,
-    at_server: u16,
+    in_progress: u16,
     flows: u16,
     meter: Meter,
     number: u64,
@@ -61,7 +63,7 @@
 
 #[derive(Clone, Copy)]
 enum Event {
-    Open,
+    OpenFlow,
     Request { server: u8, opened: u64, left: u8 },
     Answer { server: u8 },
     Close { server: u8 },
@@ -69,7 +71,7 @@
     Review,
 }
 
-/// Requests of flows that were opened within some time.
+/// Requests of the flows that were opened within one second.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Tally {
     pub(crate) asked: u64,
@@ -78,13 +80,13 @@
 
 pub(crate) struct Fleet {
     random: Random,
-    compares: bool,
+    compares_speeds: bool,
     now: u64,
     order: u64,
     events: BTreeMap<(u64, u64), Event>,
     servers: Vec<Server>,
     pools: Vec<Pool>,
-    /// Work of the next request.
+    /// Draws the work of the next request.
     pub(crate) work_ms: fn(&mut Random) -> u64,
     /// Requests by the second in which their flow was opened.
     pub(crate) tallies: BTreeMap<u64, Tally>,
@@ -92,19 +94,19 @@
 }
 
 impl Fleet {
-    /// A fleet whose balancers compare the speeds of servers, or do not.
-    pub(crate) fn open(seed: u64, balancers: usize, compares: bool) -> Self {
+    /// Creates a fleet whose balancers may compare the speeds of servers.
+    pub(crate) fn open(seed: u64, balancers: usize, compares_speeds: bool) -> Self {
         let server = |_| Server {
             free_at: [0; SLOTS],
             percent: 100,
-            at_server: 0,
+            in_progress: 0,
             flows: 0,
             meter: Meter::open(at(0)),
             number: 0,
         };
         let mut fleet = Self {
             random: Random(seed),
-            compares,
+            compares_speeds,
             now: 0,
             order: 0,
             events: BTreeMap::new(),
@@ -119,7 +121,7 @@
             let after_ms = fleet.random.below(REPORT_MS);
             fleet.after(after_ms, Event::Report { server });
         }
-        fleet.after(1, Event::Open);
+        fleet.after(1, Event::OpenFlow);
         fleet.after(REVIEW_MS, Event::Review);
         fleet
     }
@@ -132,15 +134,15 @@
         self.servers[usize::from(server)].flows
     }
 
-    pub(crate) fn at_server(&self, server: u8) -> u16 {
-        self.servers[usize::from(server)].at_server
+    pub(crate) fn in_progress(&self, server: u8) -> u16 {
+        self.servers[usize::from(server)].in_progress
     }
 
-    /// Another server starts at this place, which knows of no flow.
+    /// Replaces a server by a new one without flows.
     pub(crate) fn replace(&mut self, server: u8) {
-        let place = &mut self.servers[usize::from(server)];
-        (place.flows, place.at_server) = (0, 0);
-        place.meter.clear();
+        let state = &mut self.servers[usize::from(server)];
+        (state.flows, state.in_progress) = (0, 0);
+        state.meter.clear();
     }
 
     pub(crate) fn run(&mut self, until: u64) {
@@ -154,12 +156,12 @@
         self.now = until;
     }
 
-    /// Servers that a balancer takes for slow now, at most.
+    /// Returns the largest number of servers that count as slow at any balancer.
     pub(crate) fn slow(&self) -> usize {
         self.pools.iter().map(|pool| pool.slow().len()).max().unwrap_or_default()
     }
 
-    /// Late requests of flows that were opened in these seconds, in thousandths.
+    /// Returns the late requests of flows that were opened in these seconds, in thousandths.
     pub(crate) fn late_per_mille(&self, seconds: std::ops::Range<u64>) -> u64 {
         let tallies = self.tallies.range(seconds).map(|(_, tally)| tally);
         let (asked, late) = tallies.fold((0, 0), |sum, one| (sum.0 + one.asked, sum.1 + one.late));
@@ -173,54 +175,54 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Open => self.place(),
-            Event::Request { server, opened, left } => self.ask(server, opened, left),
+            Event::OpenFlow => self.open_flow(),
+            Event::Request { server, opened, left } => self.send_request(server, opened, left),
             Event::Answer { server } => {
-                let place = &mut self.servers[usize::from(server)];
-                place.meter.record_answer(at(self.now));
-                place.at_server = place.at_server.saturating_sub(1);
-                self.look(server);
+                let state = &mut self.servers[usize::from(server)];
+                state.meter.record_answer(at(self.now));
+                state.in_progress = state.in_progress.saturating_sub(1);
+                self.update_meter(server);
             }
             Event::Close { server } => {
-                let place = &mut self.servers[usize::from(server)];
-                place.flows = place.flows.saturating_sub(1);
+                let state = &mut self.servers[usize::from(server)];
+                state.flows = state.flows.saturating_sub(1);
             }
             Event::Report { server } => {
-                self.look(server);
+                self.update_meter(server);
                 self.report(server);
                 self.after(REPORT_MS, Event::Report { server });
             }
             Event::Review => {
-                for pool in self.pools.iter_mut().filter(|_| self.compares) {
+                for pool in self.pools.iter_mut().filter(|_| self.compares_speeds) {
                     let verdicts = pool.compare_speeds(at(self.now));
                     self.verdicts.extend(verdicts.into_iter().map(|one| (self.now, one)));
                 }
-                (0..SERVERS).for_each(|server| self.look(server));
+                (0..SERVERS).for_each(|server| self.update_meter(server));
                 self.after(REVIEW_MS, Event::Review);
             }
         }
     }
 
-    fn look(&mut self, server: u8) {
-        let place = &mut self.servers[usize::from(server)];
-        let working = usize::from(place.at_server).min(SLOTS);
-        place.meter.record_working(at(self.now), working as u64);
+    fn update_meter(&mut self, server: u8) {
+        let state = &mut self.servers[usize::from(server)];
+        let working = usize::from(state.in_progress).min(SLOTS);
+        state.meter.record_working(at(self.now), working as u64);
     }
 
     fn report(&mut self, server: u8) {
-        let place = &mut self.servers[usize::from(server)];
-        place.number += 1;
-        let service_ms = place.meter.service_ms();
-        let load = Load { busy: place.at_server, flows: place.flows, service_ms };
+        let state = &mut self.servers[usize::from(server)];
+        state.number += 1;
+        let service_ms = state.meter.service_ms();
+        let load = Load { busy: state.in_progress, flows: state.flows, service_ms };
         let domain = DOMAINS[usize::from(server) % DOMAINS.len()].into();
-        let said = word(place.number, State::Ready, load);
-        let said = Announcement { slots: SLOTS as u16, domain, ..said };
+        let announcement = word(state.number, State::Ready, load);
+        let announcement = Announcement { slots: SLOTS as u16, domain, ..announcement };
         for pool in &mut self.pools {
-            pool.announced(at(self.now), host(server), said.clone());
+            pool.announced(at(self.now), host(server), announcement.clone());
         }
     }
 
-    fn place(&mut self) {
+    fn open_flow(&mut self) {
         let balancer = self.random.below(self.pools.len() as u64) as usize;
         let need = Need {
             key: Key::new(self.random.next()),
@@ -231,24 +233,24 @@
             tried: &[],
         };
         let pool = &mut self.pools[balancer];
-        let choice = pool.choose(at(self.now), &need).expect("servers take flows");
+        let choice = pool.choose(at(self.now), &need).expect("servers accept flows");
         pool.placed(choice.agent);
         let server = choice.agent.octets()[3];
         self.servers[usize::from(server)].flows += 1;
-        self.ask(server, self.now, REQUESTS);
+        self.send_request(server, self.now, REQUESTS);
         let pause_ms = 1 + self.random.below(2_000 / FLOWS_PER_S);
-        self.after(pause_ms, Event::Open);
+        self.after(pause_ms, Event::OpenFlow);
     }
 
-    fn ask(&mut self, server: u8, opened: u64, left: u8) {
+    fn send_request(&mut self, server: u8, opened: u64, left: u8) {
         let work_ms = (self.work_ms)(&mut self.random);
         let now = self.now;
-        let place = &mut self.servers[usize::from(server)];
-        place.at_server += 1;
-        let slot = place.free_at.iter_mut().min().expect("a server has slots");
-        *slot = now.max(*slot) + work_ms * place.percent / 100;
+        let state = &mut self.servers[usize::from(server)];
+        state.in_progress += 1;
+        let slot = state.free_at.iter_mut().min().expect("a server has slots");
+        *slot = now.max(*slot) + work_ms * state.percent / 100;
         let took_ms = *slot - now;
-        self.look(server);
+        self.update_meter(server);
         self.after(took_ms, Event::Answer { server });
         let tally = self.tallies.entry(opened / 1_000).or_default();
         tally.asked += 1;
