--- a/crates/nutmegkeel_core/src/l4/waiting.rs
+++ b/crates/nutmegkeel_core/src/l4/waiting.rs
@@ -1,14 +1,15 @@
-//! Requests that wait at an agent for a slot of its backend server.
+//! Queue of the requests that wait at an agent for a slot of its backend server.
 //!
-//! The load pattern: after a loss of power all clients come back within half a second, while backend
-//! servers are cold. First come, first served would answer every one of them late, those too that
-//! come when the server could answer at once. So those go first whose
-//! answer can still be within its objective, and the others follow in the slots that these leave, the one
-//! with the least time first.
+//! The order matters when many clients reconnect at once, for example within half a second after a
+//! power failure, while backend servers are cold. First come, first served would then answer every
+//! request late, also those that arrive when the server could answer at once. Requests whose answer
+//! can still meet its objective therefore go first. The others use the slots that remain, the one
+//! with the least time left first.
 //!
-//! The opening itself does not wait: the server accepts it at once, and the client's first request is
-//! what the agent keeps. A client gives an opening up after 1.4 s and comes back with a new one, which
-//! would pass for the newest and put the others behind it; a request it waits for as long as it can.
+//! The opening itself does not wait. The server accepts it at once, and the agent holds the
+//! client's first request. A client abandons an opening after 1.4 s and sends a new one, which
+//! would be taken for the newest and delay the others. For an answer to a request it waits until
+//! its deadline.
 
 mod contended;
 mod floor;
@@ -27,20 +28,21 @@
 pub use floor::FLOOR_EVERY;
 pub use rank::{Capacity, Timeliness};
 
-/// Under a lasting overload only what the slots can serve within this may wait, in milliseconds: most of
-/// an objective is left for the answer then.
+/// Under a lasting overload, the queue keeps as many requests as the slots can serve within this
+/// time, in milliseconds. Most of the objective is then left for the answer.
 const PATIENCE_MS: u64 = 100;
 
-/// Some being late for no longer than this is a crowding that passes by itself, in milliseconds. Where
-/// callers compete for room, the objective of what is late takes its place.
+/// An overload of up to this length is expected to end by itself, in milliseconds. Where callers
+/// compete for room, the objective of a late request is used instead.
 const CROWDING_MS: u64 = 300;
 
-/// A client's first request follows its accepted opening within a round trip; one that has not come
-/// by then is not waited for, in milliseconds.
+/// Time that the queue waits for the first request on an accepted opening, in milliseconds. The
+/// request normally follows within one round trip.
 const FOLLOW_UP_MS: u64 = 300;
 
-/// More work than can be served for longer than this is no burst, in milliseconds: all clients of a
-/// deployment that was dark are back by then, and warm servers have worked off what came at once.
+/// Longest overload that counts as a burst, in milliseconds. By then all clients of a deployment
+/// that lost power have reconnected, and warm servers have served the requests that arrived at
+/// once.
 const BURST_MS: u64 = 4_000;
 
 /// A flow whose first request waits.
@@ -48,21 +50,21 @@
 pub struct Waiting {
     /// The flow.
     pub flow: Flow,
-    /// When its opening first came to a balancer.
+    /// When its opening first reached a balancer.
     pub since: Time,
-    /// When the opening was handed to the server.
+    /// When the opening was forwarded to the server.
     pub opened: Time,
-    /// What its requests ask for, counted from then on.
+    /// Objective, deadline and urgency of its requests; both times count from `since`.
     pub demand: Demand,
-    /// Whether its client comes back after a refusal for want of room.
+    /// Whether its client retries after a refusal for lack of room.
     pub returns: bool,
-    /// The request, once it has come.
+    /// The request, once it has arrived.
     pub request: Option<Head>,
 }
 
 impl Waiting {
-    /// Whether it need not wait any more: the request has not come, or an answer that takes
-    /// `answer_ms` would come too late.
+    /// Returns whether it should leave the queue: its request has not arrived in time, or an answer
+    /// that takes `answer_ms` would miss the deadline.
     fn is_over(&self, now: Time, answer_ms: u64) -> bool {
         match self.request {
             Some(_) => now.since(self.since) + answer_ms > u64::from(self.demand.deadline_ms),
@@ -70,38 +72,38 @@
         }
     }
 
-    /// Whether an answer that takes `answer_ms` is still within its objective.
+    /// Returns whether an answer that takes `answer_ms` still meets the objective.
     fn is_in_time(&self, now: Time, answer_ms: u64) -> bool {
         now.since(self.since) + answer_ms <= u64::from(self.demand.objective_ms)
     }
 
-    /// When its objective is over.
+    /// Returns the time at which its objective ends.
     const fn due(&self) -> Time {
         self.since.after(self.demand.objective_ms as u64)
     }
 
-    /// Time until its deadline, in milliseconds.
+    /// Returns the time until its deadline, in milliseconds.
     fn left_ms(&self, now: Time) -> u64 {
         u64::from(self.demand.deadline_ms).saturating_sub(now.since(self.since))
     }
 }
 
-/// Flows in order of their arrival.
+/// Waiting flows in order of their arrival.
 #[derive(Debug)]
 pub struct Queue {
     newest_first: bool,
     turns_away: bool,
     flows: VecDeque<Waiting>,
-    /// Since when more comes than can be served.
+    /// Since when more requests arrive than can be served.
     pressed: Option<Time>,
-    /// Pressure for no longer than this is a crowding, in milliseconds.
+    /// Longest overload that counts as short, in milliseconds.
     crowding_ms: u64,
-    /// What is needed where callers compete for room; none elsewhere.
+    /// State for the order by urgency and share; `None` where callers do not compete for room.
     contended: Option<Contended>,
 }
 
 impl Queue {
-    /// An empty queue.
+    /// Creates an empty queue.
     #[must_use]
     pub fn open(policy: &Policy) -> Self {
         Self {
@@ -114,8 +116,8 @@
         }
     }
 
-    /// Adds a flow behind those that came before it. One that waited elsewhere keeps its place: put
-    /// last, it would pass for the newest.
+    /// Inserts a flow in order of arrival. A flow that waited elsewhere before is not put last,
+    /// because it would then be taken for the newest.
     pub fn push(&mut self, waiting: Waiting) {
         if self.flows.is_empty() {
             self.pressed = None;
@@ -125,8 +127,8 @@
         self.flows.insert(self.flows.len() - newer, waiting);
     }
 
-    /// Notes a packet of a flow's request, of several the one with the last data; false if the flow does
-    /// not wait here.
+    /// Records a packet of a flow's request, or returns false if the flow does not wait here. Of
+    /// several packets, it keeps the one with the latest data.
     pub fn note_request(&mut self, head: &Head) -> bool {
         let waiting = self.flows.iter_mut().find(|waiting| waiting.flow == head.flow);
         let Some(waiting) = waiting else {
@@ -139,23 +141,25 @@
         true
     }
 
-    /// Forgets a flow.
+    /// Removes a flow.
     pub fn remove(&mut self, flow: &Flow) {
         self.flows.retain(|waiting| waiting.flow != *flow);
     }
 
-    /// Takes out the request that goes next, if nearly every answer takes `answer_ms` at most.
+    /// Removes and returns the request that goes next, if nearly every answer takes at most
+    /// `answer_ms`.
     ///
-    /// First come those whose answer is within its objective even then. At a short crowding, which comes
-    /// and goes with every service at high load, the oldest of them: newest first would make some late
-    /// there that need not be. When more comes than can be served for longer, the newest: first come, first
-    /// served would answer everyone at the last moment, or late. Next comes the newest of those whose
-    /// objective is not over, since most answers take less.
+    /// During a short overload, which every service at high load has at times, the oldest request
+    /// that still meets its objective with such an answer goes first. Newest first would make some
+    /// requests late without need. During a longer overload, the newest request goes first, because
+    /// first come, first served would answer every request just before its objective, or late. Next
+    /// comes the newest request whose objective has not ended, since most answers take less than
+    /// `answer_ms`.
     ///
-    /// What is late in any case comes last, and the oldest of it first. Guards against clients that wait
-    /// until their deadline in vain, because a request that came back from a lost flow is behind all that
-    /// came after it for as long as a backlog lasts: an answer to it is worth the same whenever it comes,
-    /// and it has the least time left.
+    /// Requests that are late in any case go last, the oldest first. Guards against clients that
+    /// wait until their deadline without an answer: a request that is sent again after its flow was
+    /// lost would stay behind all newer ones for as long as a backlog lasts. A late answer is worth
+    /// the same at any time before the deadline, and the oldest request has the least time left.
     pub fn pop(&mut self, now: Time, answer_ms: u64) -> Option<(Waiting, Head)> {
         let came = |waiting: &Waiting| waiting.request.is_some();
         let in_time = |waiting: &Waiting| came(waiting) && waiting.is_in_time(now, answer_ms);
@@ -170,11 +174,11 @@
         Some((waiting, request))
     }
 
-    /// Takes out those who need not wait any more, if an answer takes `answer_ms`.
+    /// Removes and returns the flows that need not wait any more, if an answer takes `answer_ms`.
     pub fn take_late(&mut self, now: Time, answer_ms: u64) -> Vec<Waiting> {
         let is_over = |waiting: &Waiting| waiting.is_over(now, answer_ms);
         let mut late = VecDeque::new();
-        // Asked with every packet: the queue is rebuilt only when somebody leaves it.
+        // This runs with every packet, so the queue is rebuilt only when a flow leaves it.
         if self.flows.iter().any(is_over) {
             (late, self.flows) = self.flows.drain(..).partition(is_over);
         }
@@ -182,10 +186,11 @@
         late.into()
     }
 
-    /// Takes out the requests that will not be served in time: the oldest beyond what the slots can
-    /// serve, once more has come than can be served for longer than a burst lasts. During a burst
-    /// nobody is turned away: a client that is refused comes back at once, and hundreds use up their
-    /// tries within a second while servers work the burst off.
+    /// Removes and returns the oldest requests beyond what the slots can serve, once an overload
+    /// lasts longer than a burst.
+    ///
+    /// During a burst it removes none. A refused client retries at once, so hundreds of clients
+    /// would use up their attempts within a second while servers still work on the burst.
     pub fn take_hopeless(&mut self, now: Time, slots: u64, request_us: u64) -> Vec<Waiting> {
         let is_burst = self.pressed.is_none_or(|since| now.since(since) <= BURST_MS);
         if is_burst || !self.turns_away {
@@ -197,30 +202,30 @@
         self.flows.drain(..excess).collect()
     }
 
-    /// Takes out all.
+    /// Removes and returns all flows.
     pub fn take_all(&mut self) -> Vec<Waiting> {
         self.flows.drain(..).collect()
     }
 
-    /// Number of flows.
+    /// Returns the number of flows.
     #[must_use]
     pub fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether no flow waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.flows.is_empty()
     }
 
-    /// Whether pressure, if there is any, may be a crowding that passes by itself.
+    /// Returns whether there is no overload, or only one that may end by itself.
     fn is_short(&self, now: Time) -> bool {
         self.pressed.is_none_or(|since| now.since(since) <= self.crowding_ms)
     }
 
-    /// Notes whether more comes than can be served: the oldest is late, and nobody has found the queue
-    /// empty since.
+    /// Records the start of an overload: the oldest request is late. The overload ends when a flow
+    /// finds the queue empty.
     fn note_pressure(&mut self, now: Time, answer_ms: u64) {
         if self.is_contended() {
             self.note_contention(now, answer_ms);
--- a/crates/nutmegkeel_core/src/l4/waiting/contended.rs
+++ b/crates/nutmegkeel_core/src/l4/waiting/contended.rs
@@ -1,4 +1,4 @@
-//! The queue where callers compete for room: by urgency, and by the callers' shares.
+//! Order of the queue by urgency and by callers' shares, where callers compete for room.
 
 use std::collections::BTreeSet;
 
@@ -11,20 +11,20 @@
 use crate::l4::route::Urgency;
 use crate::l4::share::{Shares, Standing};
 
-/// What the order and the refusals rest on.
+/// State from which the order and the refusals are computed.
 #[derive(Debug, Default)]
 pub(super) struct Contended {
-    /// Whether urgency counts; all are equally urgent otherwise.
+    /// Whether requests are ordered by urgency; otherwise all are equally urgent.
     by_urgency: bool,
     pub(super) floor: Floor,
-    /// When it was last looked for what cannot be served.
+    /// When the queue was last checked for unservable requests.
     pub(super) looked: Time,
-    /// When something was last late or refused.
+    /// When a request was last late or refused.
     pub(super) last_trouble: Time,
 }
 
 impl Contended {
-    /// None where nothing asks for it.
+    /// Creates the state, or returns `None` if the policy uses neither urgency nor shares.
     pub(super) fn open(policy: &Policy) -> Option<Self> {
         let by_urgency = policy.uses(Mechanism::Urgency);
         let is_used = by_urgency || policy.uses(Mechanism::FairShares);
@@ -36,13 +36,13 @@
     }
 }
 
-/// What is needed to rank requests at one moment.
+/// Ranks requests at one point in time.
 #[derive(Clone, Copy)]
 pub(super) struct Moment<'a> {
     pub(super) now: Time,
     pub(super) capacity: &'a Capacity,
     pub(super) shares: &'a Shares,
-    /// From this urgency on, and for less urgent ones, the newest goes first.
+    /// Requests of this urgency and of less urgent ones go newest first.
     pub(super) newest_first: Option<Urgency>,
 }
 
@@ -62,19 +62,24 @@
 }
 
 impl Queue {
-    /// Whether callers compete for room here.
+    /// Returns whether requests are ordered by urgency or by callers' shares.
     #[must_use]
     pub const fn is_contended(&self) -> bool {
         self.contended.is_some()
     }
 
-    /// Takes out the request that goes next where callers compete, and how its caller stands.
+    /// Removes and returns the request that goes next where callers compete, with its caller's
+    /// standing.
     ///
-    /// First what can still be in time, the more urgent first, and with it what has its last chance now;
-    /// then what may be in time; then what is late. Among equals callers within their share come first, and
-    /// then the one that is due first; the one due last if pressure lasts and not all that can be in time
-    /// now will be, because the first would each be answered at the last moment, or late. One in
-    /// [`super::FLOOR_EVERY`] is of a less urgent class.
+    /// Requests that can still be in time, or that have their last chance now, go first, the more
+    /// urgent of them before the others. Then come those that may be in time, then those that are
+    /// late. Among equals, callers within their share go first, then the request whose objective
+    /// ends first.
+    ///
+    /// The request whose objective ends last goes first instead if the overload lasts and not all
+    /// requests that can be in time now will be. Otherwise each request would be answered just
+    /// before its objective ends, or late. One in [`super::FLOOR_EVERY`] requests is of a less
+    /// urgent class.
     pub fn next(
         &mut self,
         now: Time,
@@ -102,8 +107,8 @@
         Some((waiting, request, rank.standing))
     }
 
-    /// Notes whether more comes than can be served: something is late. It is over when nothing has been
-    /// late or refused for the time of an objective.
+    /// Records whether there is an overload. It starts when a request is late, and ends when none
+    /// has been late or refused for the length of an objective.
     pub(super) fn note_contention(&mut self, now: Time, answer_ms: u64) {
         let Some(contended) = self.contended.as_mut() else {
             return;
@@ -124,7 +129,7 @@
         Moment { now, capacity, shares, newest_first }
     }
 
-    /// The most urgent class of which not all will be in time that can be now.
+    /// Returns the most urgent class in which not all requests that can be in time now will be.
     fn crowded_from(&self, now: Time, capacity: &Capacity) -> Option<Urgency> {
         let contended = self.contended.as_ref()?;
         let classes: BTreeSet<Urgency> =
@@ -132,8 +137,8 @@
         classes.into_iter().find(|class| !self.is_feasible(now, capacity, *class))
     }
 
-    /// Whether all requests of a class and of more urgent ones that can be in time now will be, in the order of
-    /// arrival.
+    /// Returns whether all requests of this class and of more urgent ones that can be in time now
+    /// will be, if they go in the order of arrival.
     fn is_feasible(&self, now: Time, capacity: &Capacity, class: Urgency) -> bool {
         let is_meant = |waiting: &Waiting| {
             self.contended.as_ref().is_some_and(|contended| contended.urgency(waiting) <= class)
@@ -156,7 +161,8 @@
         all.filter(|(_, waiting)| waiting.request.is_some())
     }
 
-    /// The first in order, of one urgency if it is given. Shares are asked for only where classes are equal.
+    /// Returns the request that ranks highest, among those of one urgency if `of` is given. Shares
+    /// are looked up only where classes are equal.
     fn first(
         &self,
         moment: &Moment,
--- a/crates/nutmegkeel_core/src/l4/waiting/rank.rs
+++ b/crates/nutmegkeel_core/src/l4/waiting/rank.rs
@@ -1,26 +1,26 @@
-//! The order in which requests that wait go on, where callers compete for room.
+//! Rank of a waiting request, where callers compete for room.
 
 use super::Waiting;
 use crate::clock::Time;
 use crate::l4::route::Urgency;
 use crate::l4::share::Standing;
 
-/// What the slots of the backend server can do.
+/// Number of slots of the backend server, how many requests it has, and its service times.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
-    /// Requests that the server works on at once.
+    /// Number of requests that the server works on at once.
     pub slots: u64,
-    /// Requests that it has.
+    /// Number of requests in progress at the server.
     pub at_server: u64,
-    /// Time for which a request takes a slot, on the mean, in microseconds.
+    /// Mean time for which a request occupies a slot, in microseconds.
     pub mean_us: u64,
     /// Time within which nearly every request is done, in microseconds.
     pub most_us: u64,
 }
 
 impl Capacity {
-    /// Time until the server begins with a request that goes behind `ahead` others from here, in
-    /// milliseconds.
+    /// Returns the time until the server starts on a request with `ahead` others before it in the
+    /// queue, in milliseconds.
     #[must_use]
     pub fn start_ms(&self, ahead: usize) -> u64 {
         let at_server = (self.at_server + 1).saturating_sub(self.slots.max(1));
@@ -28,13 +28,13 @@
         ahead.saturating_mul(self.mean_us) / self.slots.max(1) / 1_000
     }
 
-    /// Time of an answer on the mean, in milliseconds.
+    /// Returns the mean time of an answer, in milliseconds.
     #[must_use]
     pub const fn answer_ms(&self) -> u64 {
         self.mean_us / 1_000
     }
 
-    /// Time of nearly every answer, in milliseconds.
+    /// Returns the time within which nearly every answer is done, in milliseconds.
     #[must_use]
     pub const fn most_ms(&self) -> u64 {
         self.most_us / 1_000
@@ -44,18 +44,18 @@
 /// Whether the answer to a request can be in time if it goes next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timeliness {
-    /// It is, even if it takes as long as nearly every answer.
+    /// It is in time even if it takes as long as nearly every answer does.
     InTime,
-    /// It is not, and if the request does not go now, there will be no answer at all.
+    /// It may be late, and if the request does not go now, its deadline passes without an answer.
     LastChance,
-    /// It may be.
+    /// It is in time if it takes less than nearly every answer does.
     Possible,
     /// It is late in any case.
     Late,
 }
 
 impl Timeliness {
-    /// How a request that has waited until `now` stands.
+    /// Returns the timeliness at `now` of a request that waits.
     #[must_use]
     pub fn of(now: Time, waiting: &Waiting, capacity: &Capacity) -> Self {
         let most_ms = capacity.start_ms(0) + capacity.most_ms();
@@ -70,8 +70,11 @@
         }
     }
 
-    /// Guards against urgent requests that reach their deadline behind less urgent ones: the last chance
-    /// is grouped with what can be in time, and there urgency decides.
+    /// Returns the group that is ranked before urgency.
+    ///
+    /// Guards against urgent requests that reach their deadline behind less urgent ones. A request
+    /// with its last chance is in the same group as those that can be in time, so that urgency
+    /// decides between them.
     const fn group(self) -> Group {
         match self {
             Self::InTime | Self::LastChance => Group::Now,
@@ -88,7 +91,7 @@
     Leftover,
 }
 
-/// What comes before the share of the caller; those that compare as less go first.
+/// Part of the rank that comes before the caller's standing; lower values go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Class {
     group: Group,
@@ -101,13 +104,14 @@
         Self { group: timeliness.group(), urgency, timeliness }
     }
 
-    /// Whether the one that came last goes first: only what can still be in time gains by it.
+    /// Returns whether the newest request of the class may go first. Only requests that can still
+    /// be in time gain by it.
     pub(super) const fn may_reverse(&self) -> bool {
         matches!(self.timeliness, Timeliness::InTime | Timeliness::Possible)
     }
 }
 
-/// The whole order; those that compare as less go first.
+/// Rank of a request; lower values go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     pub(super) class: Class,
--- a/crates/nutmegkeel_core/src/l4/waiting/refusal.rs
+++ b/crates/nutmegkeel_core/src/l4/waiting/refusal.rs
@@ -1,4 +1,5 @@
-//! What is refused where callers compete for room: what cannot be served, as soon as that is known.
+//! Refusal of requests as soon as it is known that they cannot be served, where callers compete for
+//! room.
 
 use super::contended::{Contended, Moment};
 use super::floor::Ahead;
@@ -8,16 +9,19 @@
 use crate::l4::flow::Flow;
 use crate::l4::share::Shares;
 
-/// Pause between two looks for requests that cannot be served, in milliseconds: each look sorts all.
+/// Interval between two checks for unservable requests, in milliseconds. Each check sorts the whole
+/// queue.
 const LOOK_MS: u64 = 20;
 
 impl Queue {
-    /// Takes out the requests that may be refused and for which it is known that they cannot be served.
+    /// Removes and returns the requests that may be refused and that cannot be served.
     ///
-    /// A request is given up if its deadline passes even if nothing new comes and all slots go on with those
-    /// before it. Guards against clients that wait seconds for nothing. What may come is not guessed: whoever is
-    /// turned away comes back at once with a new connection, passes for new, and takes a slot in which another
-    /// could have been answered in time, while the slots may work off what waits when the crowd ends.
+    /// A request is unservable if its deadline would pass even if no request is added and all slots
+    /// work on those before it. Guards against clients that wait for seconds without an answer.
+    ///
+    /// Future arrivals are not estimated. A refused client reconnects at once, counts as new, and
+    /// takes a slot in which another request could have been answered in time, while the slots
+    /// could still have served the waiting requests after the overload ends.
     pub fn take_unservable(
         &mut self,
         now: Time,
@@ -57,8 +61,8 @@
         unservable
     }
 
-    /// Whether a request that has not been taken in yet could be served, by the same rule. Where it could
-    /// not, its client is told before it has a connection to the server.
+    /// Returns whether a request that is not in the queue yet could be served, by the same rule. If
+    /// not, its client can be refused before it has a connection to the server.
     pub fn bears(
         &mut self,
         now: Time,
@@ -89,8 +93,8 @@
 
     fn is_servable(&self, moment: &Moment, waiting: &Waiting, ahead: usize) -> bool {
         let Moment { now, capacity, .. } = *moment;
-        // Guards against a client that is refused twice in a row: one that comes back is let in for as long as
-        // it could be answered if it went next.
+        // Guards against refusing a client twice in a row: a client that retries is accepted as
+        // long as it could be answered if it went next.
         let ahead = if waiting.returns { 0 } else { ahead };
         let start_ms = capacity.start_ms(ahead);
         waiting.left_ms(now) >= start_ms + capacity.answer_ms()
