--- a/crates/nutmegkeel_core/src/l4/evacuation.rs
+++ b/crates/nutmegkeel_core/src/l4/evacuation.rs
@@ -1,8 +1,8 @@
-//! Failure domains that the operator has evacuated: their backend servers take no new flows.
+//! Evacuation of failure domains: backend servers in an evacuated domain take no new flows.
 //!
-//! An order lies in the store until the operator takes it back. Balancers and agents hold all orders
-//! of one moment together and replace them as a whole, by the store's era and revision, so that it does not
-//! matter in which order words arrive, or from whom.
+//! An order stays in the store until the operator takes it back. Balancers and agents keep all
+//! orders of one store revision together and replace them as a whole, by the store's era and
+//! revision. It therefore does not matter in which sequence messages arrive, or from which process.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,39 +12,39 @@
 use crate::clock::Time;
 use crate::revision::{Era, Revision};
 
-/// All orders that were in force at one revision of the store.
+/// All orders in force at one revision of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Orders {
     /// The store's revision.
     pub revision: Revision,
-    /// The failure domains that are evacuated.
+    /// Evacuated failure domains.
     pub domains: BTreeSet<Arc<str>>,
 }
 
-/// How one failure domain's order changed.
+/// Change of one failure domain's order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The failure domain.
     pub domain: Arc<str>,
-    /// Whether it is evacuated now; taken back otherwise.
+    /// Whether it is evacuated now; otherwise it was taken back.
     pub evacuated: bool,
-    /// Revision of the orders that say so.
+    /// Revision of the orders that changed it.
     pub revision: Revision,
 }
 
-/// The newest orders that a process has heard of; none while it has heard of none.
+/// The newest orders that a process has received, if any.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ledger {
     orders: Option<Orders>,
 }
 
 impl Ledger {
-    /// Takes in orders, and says what they change.
+    /// Applies orders if they are newer than the known ones, and returns what changes.
     ///
-    /// Guards against an order that comes back, or is forgotten, because an old word took a slow way:
-    /// new flows would go to servers that the operator is about to switch off. Orders hold at their
-    /// revision, which only rises: where the store comes back from an older copy and counts from there, its era
-    /// does.
+    /// Guards against a delayed message that restores an ended order or removes a current one. In
+    /// the second case, new flows would go to servers that the operator is about to switch off.
+    /// Only orders of a higher revision are applied. If the store is restored from an older copy
+    /// and its revisions continue from there, its era is higher.
     pub fn take(&mut self, orders: &Orders) -> Vec<Change> {
         if self.orders.as_ref().is_some_and(|known| known.revision >= orders.revision) {
             return Vec::new();
@@ -60,39 +60,40 @@
         added.chain(ended).collect()
     }
 
-    /// The newest orders.
+    /// Returns the newest orders.
     #[must_use]
     pub const fn orders(&self) -> Option<&Orders> {
         self.orders.as_ref()
     }
 
-    /// Revision of the newest orders; zero while none have been heard of.
+    /// Returns the revision of the newest orders; zero while none have been received.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.orders.as_ref().map_or(Revision::ZERO, |orders| orders.revision)
     }
 }
 
-/// After the store came back from an older copy, orders that the copy lacks are held for so long, in milliseconds:
-/// the operator writes them again meanwhile.
+/// Time for which orders of an earlier era are retained after the store was restored from an older
+/// copy, in milliseconds. In this time the operator rewrites the orders that the copy lacks.
 pub const REWRITE_MS: u64 = 2_000;
 
-/// Follows the operator's orders as the store tells of them.
+/// Follows the operator's orders in the store.
 #[derive(Clone, Debug, Default)]
 pub struct Feed {
     orders: Orders,
-    /// When the store was first seen in its present era, while orders of an earlier one are held.
+    /// When the store's current era was first seen, while orders of an earlier era are retained.
     returned: Option<Time>,
 }
 
 impl Feed {
-    /// Takes in all orders that the store holds at a revision.
+    /// Applies a snapshot of all orders in the store at a revision.
     ///
-    /// Guards against an order that stays in force for good after its end went by unseen, in a part of
-    /// the store's history that is gone.
+    /// Guards against an order that stays in force forever: its end was missed, in a part of the
+    /// store's history that is no longer available.
     ///
-    /// The first image of a later era may lack orders that were given after the store's copy was made. They hold
-    /// on until the operator has written them again, or [`REWRITE_MS`] have passed.
+    /// The first snapshot of a later era may lack orders that were given after the store's copy was
+    /// made. They are retained until the operator has rewritten them, or until [`REWRITE_MS`] have
+    /// passed.
     pub fn read(&mut self, now: Time, as_of: Revision, domains: BTreeSet<Arc<str>>) {
         if as_of < self.orders.revision {
             return;
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Takes in orders that this process heard of elsewhere, and that may be later than what it read itself.
+    /// Applies orders that another process sent, if they are newer than what this process read.
     pub fn hear(&mut self, now: Time, orders: &Orders) {
         if orders.revision > self.orders.revision {
             self.replace(now, orders.clone());
@@ -120,32 +121,33 @@
         self.orders = orders;
     }
 
-    /// Whether orders of an earlier era are held.
+    /// Returns whether orders of an earlier era are retained.
     #[must_use]
     pub const fn holds_on(&self) -> bool {
         self.returned.is_some()
     }
 
-    /// Whether orders of an earlier era are held because the operator may still be writing them again.
+    /// Returns whether orders of an earlier era are retained because the operator may still be
+    /// rewriting them.
     fn awaits_rewrite(&self, now: Time) -> bool {
         self.returned.is_some_and(|returned| now.since(returned) < REWRITE_MS)
     }
 
-    /// Whether it is time to read all orders anew: what is held from an earlier era is not in the store unless
-    /// the operator wrote it again.
+    /// Returns whether a new snapshot is due. Orders retained from an earlier era are in the store
+    /// only if the operator has rewritten them.
     #[must_use]
     pub fn needs_read(&self, now: Time) -> bool {
         self.returned.is_some() && !self.awaits_rewrite(now)
     }
 
-    /// The era of the store that the orders are of.
+    /// Returns the store era of the orders.
     #[must_use]
     pub const fn era(&self) -> Era {
         self.orders.revision.era
     }
 
-    /// Takes in that an order was given, or taken back, at a revision. What a read already holds changes
-    /// nothing when its history is told again.
+    /// Applies one change of a failure domain at a revision. A change that the last snapshot
+    /// already contains is ignored.
     pub fn change(&mut self, revision: Revision, domain: Arc<str>, evacuated: bool) {
         if revision <= self.orders.revision {
             return;
@@ -158,7 +160,7 @@
         }
     }
 
-    /// The orders in force.
+    /// Returns the orders in force.
     #[must_use]
     pub const fn orders(&self) -> &Orders {
         &self.orders
--- a/crates/nutmegkeel_core/src/l4/flow.rs
+++ b/crates/nutmegkeel_core/src/l4/flow.rs
@@ -1,4 +1,4 @@
-//! A flow and the parts of its packets that decisions look at.
+//! Flows, and the packet headers that decisions are based on.
 
 use std::net::SocketAddrV4;
 
@@ -6,17 +6,17 @@
 
 use crate::placement::Key;
 
-/// Both ends of a flow, the same for packets of either direction.
+/// Client and service address of a flow, the same for packets in both directions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Flow {
     /// Address and port of the client.
     pub client: SocketAddrV4,
-    /// Address and port that the client opened, which a route names.
+    /// Address and port that the client opened; the key of a route.
     pub service: SocketAddrV4,
 }
 
 impl Flow {
-    /// Key that spreads flows over agents; the same on every process.
+    /// Returns the key that distributes flows over agents; it is the same in every process.
     #[must_use]
     pub fn key(&self) -> Key {
         Key::of(&[
@@ -29,7 +29,7 @@
 }
 
 impl std::fmt::Display for Flow {
-    /// The id of a flow in logs: what a client's own log holds, `CLIENT:PORT>SERVICE:PORT`.
+    /// Writes the id of a flow in logs, `CLIENT:PORT>SERVICE:PORT`, as the client's own log has it.
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(formatter, "{}>{}", self.client, self.service)
     }
@@ -41,13 +41,14 @@
 pub struct Flags {
     /// Opens a flow.
     pub syn: bool,
-    /// The acknowledgement number counts.
+    /// The acknowledgement number is valid.
     pub ack: bool,
     /// The sender sends no more data.
     pub fin: bool,
-    /// The sender gave the flow up.
+    /// The sender aborted the flow.
     pub rst: bool,
-    /// The backend server does not hold the flow, or cannot accept it, and hands the packet back.
+    /// The backend server returned the packet because it does not hold the flow or cannot accept
+    /// it.
     pub bounced: bool,
 }
 
@@ -60,7 +61,7 @@
     ToClient,
 }
 
-/// What decisions see of one packet.
+/// Header fields of one packet that decisions use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
     /// The flow it belongs to.
@@ -69,35 +70,35 @@
     pub flags: Flags,
     /// Sequence number.
     pub seq: u32,
-    /// Acknowledgement number; on an opening, the number of copies sent before.
+    /// Acknowledgement number; in an opening, the number of copies sent before.
     pub ack: u32,
-    /// Bytes of data.
+    /// Length of the data, in bytes.
     pub len: u16,
-    /// Number that the agent wrote into the packet, which a bounced packet brings back.
+    /// Number that the agent wrote into the packet; a bounced packet returns it.
     pub tag: u32,
 }
 
 impl Head {
-    /// Whether the packet opens a flow.
+    /// Returns whether the packet opens a flow.
     #[must_use]
     pub const fn opens(&self) -> bool {
         self.flags.syn && !self.flags.ack
     }
 
-    /// Sequence number just behind this packet's data.
+    /// Returns the sequence number that follows this packet's data.
     #[must_use]
     pub const fn next_seq(&self) -> u32 {
         self.seq.wrapping_add(self.len as u32)
     }
 }
 
-/// A client gives an opening up after this, in milliseconds.
+/// Time after which a client abandons an opening, in milliseconds.
 pub const OPENING_ENDS_MS: u64 = 1_400;
 
-/// A packet whose data ends at most this far behind what came before brings something new.
+/// A packet has new data if its data ends at most this far after the data received before.
 pub const DATA_REACH: u32 = 1 << 30;
 
-/// Whether `number` lies within `reach` behind `base`, counted modulo 2^32.
+/// Returns whether `number` is at most `reach` after `base`, modulo 2^32.
 #[must_use]
 pub const fn follows(number: u32, base: u32, reach: u32) -> bool {
     let ahead = number.wrapping_sub(base);
--- a/crates/nutmegkeel_core/src/l4/note.rs
+++ b/crates/nutmegkeel_core/src/l4/note.rs
@@ -1,5 +1,7 @@
-//! What a decision rested on, for the logs: one note for each decision that touches a flow or
-//! changes what the process believes.
+//! Decisions and their inputs, for the logs.
+//!
+//! There is one record for each decision that affects a flow or changes the known state of another
+//! process.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -20,11 +22,11 @@
     Placed {
         /// The flow.
         flow: Flow,
-        /// The agent, its load and that load's age.
+        /// The agent, its load and the age of that load.
         choice: Choice,
-        /// Agents that declined it before.
+        /// Number of agents that declined it before.
         attempt: usize,
-        /// Version of the configuration that named the service.
+        /// Version of the configuration that determined the service.
         version: u64,
     },
     /// An agent declined a packet of a flow.
@@ -38,16 +40,16 @@
         /// Load of the agent.
         load: Load,
     },
-    /// A balancer found the agent of a flow that it did not know.
+    /// A balancer found the agent that holds a flow.
     Found {
         /// The flow.
         flow: Flow,
         /// The agent that holds it.
         agent: Ipv4Addr,
-        /// Agents that were asked before.
+        /// Number of agents that were queried before.
         asked: usize,
     },
-    /// A balancer without a configuration handed a packet to one that has it.
+    /// A balancer without a configuration relayed a packet to a balancer that has one.
     Relayed {
         /// The flow.
         flow: Flow,
@@ -60,13 +62,13 @@
         flow: Flow,
         /// Why.
         cause: Cause,
-        /// Agents that declined it.
+        /// Number of agents that were queried.
         asked: usize,
         /// Version of the configuration in force, at a balancer.
         version: u64,
     },
-    /// An opening was refused for want of room: no backend server can answer it in time, or all that were
-    /// asked declined it.
+    /// An opening was refused for lack of room: no backend server can answer it in time, or all
+    /// agents that were queried declined it.
     Refused {
         /// The flow.
         flow: Flow,
@@ -74,70 +76,71 @@
         cause: Cause,
         /// How urgent it was.
         urgency: Urgency,
-        /// Agents that declined it.
+        /// Number of agents that declined it.
         asked: usize,
-        /// What the refusal rested on; none where every agent that was asked declined.
+        /// Shortage that caused the refusal; `None` if every agent that was queried declined.
         shortage: Option<Shortage>,
     },
-    /// A packet is kept until something that could decide on it changes.
+    /// A packet is kept until the information that is needed to decide on it arrives.
     Kept {
         /// The flow.
         flow: Flow,
-        /// Why nothing can be decided yet.
+        /// Why it cannot be decided yet.
         cause: Cause,
     },
-    /// Agents appeared, or take new flows again or no more, since the last such note.
+    /// Agents appeared, started to take new flows again, or stopped, since the last such record.
     Agents {
-        /// Which.
+        /// The agents that changed.
         turnover: Turnover,
-        /// Agents that are known now.
+        /// Number of agents that are known now.
         known: usize,
     },
-    /// Agents have not been heard of for too long.
+    /// No announcement of some agents has arrived within the time-out.
     AgentsSilent {
         /// The agents.
         agents: Vec<Ipv4Addr>,
     },
-    /// A backend server began or ceased to count as far slower than its peers.
+    /// A backend server was classified as far slower than its peers, or no longer is.
     Speed(Verdict),
     /// A configuration came into force.
     InForce {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
-        /// Number of its routes.
+        /// Number of routes in it.
         routes: usize,
     },
     /// A failure domain was evacuated or taken back.
     Evacuation(evacuation::Change),
-    /// A balancer begins or ceases to spare a failure domain that is far fuller than the others.
+    /// A balancer starts or stops sparing a failure domain that is far busier than the others.
     Spared {
-        /// How full it is, and whether it is spared now.
+        /// Utilization of the domain, and whether it is spared now.
         level: Level,
-        /// Openings that lately went to other failure domains than this balancer's, in thousandths.
+        /// Fraction of recent openings that went to a failure domain other than this balancer's, in
+        /// thousandths.
         abroad: Option<u64>,
     },
-    /// Balancers became known, or said that they stop, since the last such note.
+    /// Balancers became known or announced that they stop, since the last such record.
     Balancers {
-        /// Which.
+        /// The balancers that changed.
         turnover: Turnover,
-        /// Balancers that are known now, this process not counted.
+        /// Number of balancers that are known now, without this process.
         known: usize,
     },
-    /// An agent took an opening.
+    /// An agent accepted an opening.
     Accepted {
         /// The flow.
         flow: Flow,
         /// Load of the agent, this flow included.
         load: Load,
     },
-    /// A request on an open flow waited for a slot until its client's time was over.
+    /// A request on an open flow waited for a slot until its deadline.
     Expired {
         /// The flow.
         flow: Flow,
         /// How long it waited, in milliseconds.
         waited_ms: u64,
     },
-    /// A request that waited for a slot was given up.
+    /// A request that waited for a slot was dropped.
     GivenUp {
         /// The flow.
         flow: Flow,
@@ -148,64 +151,65 @@
         /// How long it waited, in milliseconds.
         waited_ms: u64,
     },
-    /// A request went on behind others, because its caller had more than its share.
+    /// A request went behind others because its caller, or its caller's failure domain, was beyond
+    /// its share.
     BeyondShare {
         /// The flow.
         flow: Flow,
-        /// How its caller stood.
+        /// Standing of its caller.
         standing: Standing,
         /// How long it waited, in milliseconds.
         waited_ms: u64,
     },
-    /// An agent learnt from its backend server that it holds a flow.
+    /// An agent learned from its backend server that the server holds a flow.
     Adopted {
         /// The flow.
         flow: Flow,
     },
-    /// The backend server beside an agent changed.
+    /// The state of an agent's local backend server changed.
     Server {
         /// Its incarnation.
         id: Arc<str>,
-        /// How.
+        /// What changed.
         change: ServerChange,
     },
 }
 
-/// How the backend server beside an agent changed.
+/// Change in the state of an agent's local backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerChange {
     /// A new incarnation runs.
     Started,
-    /// Another incarnation may have taken its place; the next heartbeat tells.
+    /// Another incarnation may have replaced it; the next heartbeat decides.
     Contested,
-    /// It takes no more flows.
+    /// It takes no new flows.
     Draining,
-    /// It said that it ends.
+    /// It reported that it ends.
     Ended,
     /// It does not answer openings.
     Unresponsive,
     /// It answers again.
     Responsive,
-    /// It breaks requests off.
+    /// It aborts requests.
     Failing,
-    /// It takes requests and never answers.
+    /// It accepts requests and never answers.
     Mute,
-    /// It neither answers nor sends heartbeats; its flows are gone.
+    /// It neither answers nor sends heartbeats; its flows are lost.
     Dead,
 }
 
-/// Why a client got a reset, or nothing.
+/// Why a client got a reset or no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// No configuration is known yet.
     NoConfiguration,
-    /// No route names the address.
+    /// No route has the address.
     NoRoute,
     /// No agent takes flows of the service.
     NoAgent,
     /// The backend server has no free slot.
     AllBusy,
-    /// Every agent that was asked declined.
+    /// Every agent that was queried declined.
     AllDeclined,
     /// No backend server can answer in time.
     NoRoom,
@@ -219,20 +223,21 @@
     ServerRestarted,
     /// The backend server is dead.
     ServerDead,
-    /// The backend server takes requests and never answers.
+    /// The backend server accepts requests and never answers.
     ServerMute,
-    /// The request waited for a slot, and its answer would come too late.
+    /// The request waited for a slot, and its answer would have missed the deadline.
     Late,
-    /// More came than can be served, and the request would have waited until its deadline in vain.
+    /// More requests arrived than can be served, and this one would have waited until its deadline
+    /// without an answer.
     Overload,
     /// The only backend servers of the service are in evacuated failure domains.
     Evacuated,
-    /// The host came back with another backend server; its flows were noted in the store.
+    /// The host restarted with another backend server; its flows were recorded in the store.
     HostRestarted,
 }
 
 impl Cause {
-    /// Word for logs and metrics.
+    /// Returns the name for logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
--- a/crates/nutmegkeel_core/src/l4/policy.rs
+++ b/crates/nutmegkeel_core/src/l4/policy.rs
@@ -1,64 +1,69 @@
-//! Which mechanisms a process uses. Some are for deployments that say of themselves what calls for them;
-//! each can be switched off: to measure what it is worth, and as an emergency switch for operators who
-//! suspect it.
+//! Mechanisms that a process uses.
+//!
+//! Some are used only in deployments that declare a condition for them. Each can be switched off,
+//! to measure its effect, or in an emergency when an operator suspects it of a fault.
 
 use std::collections::BTreeSet;
 use std::fmt;
 use std::str::FromStr;
 
-/// What a deployment says of itself that calls for mechanisms which others are served without.
+/// Condition that a deployment declares, and that enables additional mechanisms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Condition {
-    /// Callers may ask for more than all backend servers together can do.
+    /// Callers may request more than all backend servers together can serve.
     Contention,
-    /// Backend servers may fail or become slow while all that they say of themselves is good.
+    /// Backend servers may fail or become slow while they still report that they are healthy.
     HiddenFaults,
 }
 
-/// A mechanism of the decisions for flows without a routing token.
+/// Mechanism in the decisions for flows without a routing token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// Agents note their open flows in the store, and their successors tell the clients of lost ones.
+    /// Agents record their open flows in the store, and their successors notify the clients of lost
+    /// flows.
     FlowLists,
-    /// Requests wait at the agent while its server has enough to go on with, not in the server's queue.
+    /// While its server is saturated, the agent queues requests instead of the server.
     AgentQueue,
-    /// Under lasting pressure the newest request goes first.
+    /// Under a lasting overload, the newest request goes first.
     NewestFirst,
-    /// Requests beyond what can be served are turned away when a burst lasts.
+    /// Under an overload longer than a burst, requests that cannot be served are refused.
     TurningAway,
-    /// Openings ask for a free slot before they ask to wait.
+    /// Openings are first offered for a free slot, and only then for a place in a queue.
     FreeSlotFirst,
-    /// A server that breaks many requests off gets no new flows for a while.
+    /// A server that aborts many requests gets no new flows for some time.
     Outliers,
-    /// A server that leaves openings unanswered gets no more.
+    /// A server that leaves openings unanswered gets no further ones.
     Unresponsive,
     /// Agents announce themselves with each tick to balancers that have not answered yet.
     Introductions,
     /// Packets that cannot be decided on yet are kept.
     KeptPackets,
-    /// A balancer without a configuration hands packets to one that has it.
+    /// A balancer without a configuration relays packets to one that has it.
     Relay,
-    /// Balancers that find no configuration anywhere carry the packets of open flows.
+    /// Balancers that find no configuration anywhere forward the packets of open flows.
     Unrouted,
-    /// Agents hand their lists of flows to balancers that write many with one call.
+    /// Agents send their flow lists to balancers that write many of them with one call.
     Collectors,
-    /// Agents announce themselves in their own failure domain, and its balancers tell the others.
+    /// Agents announce themselves in their own failure domain, and its balancers send summaries to
+    /// the balancers of other domains.
     Summaries,
-    /// A server that never answers gets no new flows, and clients whose requests may run again are told.
+    /// A server that never answers gets no new flows, and clients are notified if their requests
+    /// may run again.
     Mute,
     /// Some agents hold a copy of the configuration for balancers that find it nowhere else.
     Replicas,
-    /// Where agents are far, many are asked for a flow at once.
+    /// Where agents are far, many are queried for a flow at once.
     WideSearch,
-    /// What is short of room goes by the urgency of its route.
+    /// Requests that compete for room are ordered by the urgency of their route.
     Urgency,
     /// Callers share the room of a backend server that is short of it.
     FairShares,
-    /// Balancers reckon how much room a service has, and refuse at once what finds none in time.
+    /// Balancers estimate how much room a service has, and refuse at once the openings that would
+    /// not get any in time.
     Room,
-    /// A backend server far slower than its peers gets new flows by its speed.
+    /// A backend server far slower than its peers gets new flows in proportion to its speed.
     UnevenServers,
-    /// New flows leave a failure domain that is far busier than others.
+    /// New flows avoid a failure domain that is far busier than others.
     DomainBalance,
 }
 
@@ -88,7 +93,8 @@
         Self::DomainBalance,
     ];
 
-    /// The condition that a deployment must name for the mechanism to be used; none if all use it.
+    /// Returns the condition that a deployment must declare for the mechanism to be used; `None` if
+    /// every deployment uses it.
     #[must_use]
     pub const fn needs(self) -> Option<Condition> {
         match self {
@@ -98,7 +104,7 @@
         }
     }
 
-    /// The name on the command line and in logs.
+    /// Returns the name on the command line and in logs.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -133,11 +139,11 @@
     }
 }
 
-/// No mechanism has this name.
+/// Error for a name that no mechanism has.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no mechanism is called `{name}`; there are: {}", Mechanism::ALL.map(Mechanism::name).join(", "))]
 pub struct Unknown {
-    /// The name.
+    /// The unknown name.
     pub name: String,
 }
 
@@ -150,7 +156,8 @@
     }
 }
 
-/// Which mechanisms a process uses: those that its deployment calls for, but for those switched off.
+/// Set of mechanisms that a process uses: all whose conditions the deployment declares, except
+/// those that are switched off.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Policy {
     without: BTreeSet<Mechanism>,
@@ -158,26 +165,26 @@
 }
 
 impl Policy {
-    /// All mechanisms but these.
+    /// Creates a policy with these mechanisms switched off.
     #[must_use]
     pub fn without(mechanisms: impl IntoIterator<Item = Mechanism>) -> Self {
         Self { without: mechanisms.into_iter().collect(), ..Self::default() }
     }
 
-    /// The same in a deployment under these conditions.
+    /// Returns the same policy for a deployment that declares these conditions.
     #[must_use]
     pub fn under(self, conditions: impl IntoIterator<Item = Condition>) -> Self {
         Self { conditions: conditions.into_iter().collect(), ..self }
     }
 
-    /// Whether a mechanism is used.
+    /// Returns whether a mechanism is used.
     #[must_use]
     pub fn uses(&self, mechanism: Mechanism) -> bool {
         let is_called_for = mechanism.needs().is_none_or(|need| self.conditions.contains(&need));
         is_called_for && !self.without.contains(&mechanism)
     }
 
-    /// The names of those switched off, for the log.
+    /// Returns the names of the mechanisms that are switched off, for the log.
     #[must_use]
     pub fn switched_off(&self) -> Vec<&'static str> {
         self.without.iter().map(|mechanism| mechanism.name()).collect()
--- a/crates/nutmegkeel_core/src/l4/route.rs
+++ b/crates/nutmegkeel_core/src/l4/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which service the flows to an address belong to.
+//! Routes, which map the address that a client opens to a service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -8,12 +8,12 @@
 
 use super::flow::Flow;
 
-/// Identity of a service between processes: a hash of its name, of one length whatever the name.
+/// Identity of a service across processes: a hash of its name, with a fixed length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Service(u64);
 
 impl Service {
-    /// The identity of the service with this name.
+    /// Returns the identity of the service with this name.
     #[must_use]
     pub fn named(name: &str) -> Self {
         let mut first = [0; 8];
@@ -21,37 +21,39 @@
         Self(u64::from_be_bytes(first))
     }
 
-    /// The identity as a number.
+    /// Returns the identity as a number.
     #[must_use]
     pub const fn number(self) -> u64 {
         self.0
     }
 }
 
-/// How urgent the requests of a route are; the most urgent compare as the least.
+/// Urgency of the requests of a route; lower values are more urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Urgency(u8);
 
 impl Urgency {
-    /// Number of the least urgent.
+    /// Number of the least urgent value.
     pub const LEAST: u8 = 7;
 
-    /// For a route that states none: behind those that operators usually name urgent.
+    /// Urgency of a route that states none. It ranks behind the routes that operators usually mark
+    /// as urgent.
     pub const DEFAULT: Self = Self(4);
 
-    /// The urgency with this number, zero for the most urgent; none if it is beyond [`Self::LEAST`].
+    /// Returns the urgency with this number, zero for the most urgent; `None` if the number is
+    /// greater than [`Self::LEAST`].
     #[must_use]
     pub const fn new(number: u8) -> Option<Self> {
         if number <= Self::LEAST { Some(Self(number)) } else { None }
     }
 
-    /// Its number.
+    /// Returns its number.
     #[must_use]
     pub const fn number(self) -> u8 {
         self.0
     }
 
-    /// Its number as a word for metrics.
+    /// Returns its number as a label for metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         const NAMES: [&str; Urgency::LEAST as usize + 1] = ["0", "1", "2", "3", "4", "5", "6", "7"];
@@ -59,18 +61,18 @@
     }
 }
 
-/// How the requests of a route may be treated.
+/// Kind of the requests of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Idempotent, small.
+    /// Idempotent, with a small answer.
     Idempotent,
-    /// Runs at most once.
+    /// Must run at most once.
     Once,
     /// Idempotent, with a large answer.
     Download,
 }
 
-/// A service's share of a route's new flows.
+/// Share of a route's new flows that goes to one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
     /// The service.
@@ -79,28 +81,28 @@
     pub weight: u32,
 }
 
-/// One route.
+/// Route of the flows to one address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// Its name, for logs and metrics.
     pub name: Arc<str>,
-    /// Services that take its new flows; one at least.
+    /// Services that take its new flows; at least one.
     pub shares: Vec<Share>,
-    /// What its requests are.
+    /// Kind of its requests.
     pub kind: Kind,
     /// Deadline of a request, in milliseconds.
     pub deadline_ms: u64,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Objective for the time of an answer, in milliseconds. A later answer is worth less.
     pub objective_ms: u64,
-    /// How urgent its requests are.
+    /// Urgency of its requests.
     pub urgency: Urgency,
-    /// Regions whose backend servers may take its flows; empty where all may.
+    /// Regions whose backend servers may take its flows; empty if all may.
     pub regions: BTreeSet<Arc<str>>,
 }
 
 impl Route {
-    /// The service of a new flow: the flow's key picks among the shares, so that the copies of an
-    /// opening meet one service whichever balancer they reach.
+    /// Returns the service of a new flow. The flow's key selects among the shares, so that all
+    /// copies of an opening get the same service at any balancer.
     #[must_use]
     pub fn service(&self, flow: &Flow) -> Option<Service> {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight)).sum();
@@ -119,13 +121,13 @@
 /// All routes of one version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
-    /// The version; higher ones replace lower ones.
+    /// Version of the configuration; higher versions replace lower ones.
     pub version: u64,
     /// Routes by the address that clients open.
     pub routes: BTreeMap<SocketAddrV4, Route>,
-    /// Openings a second that a cold backend server of a service bears; a service without an entry has
-    /// no such rate.
+    /// Maximum rate of openings that a cold backend server of a service can take, per second. A
+    /// service without an entry has no limit.
     pub cold_per_s: BTreeMap<Service, u32>,
-    /// A flow that is idle longer may be forgotten, in milliseconds.
+    /// Idle time after which a flow may be forgotten, in milliseconds.
     pub idle_ms: u64,
 }
--- a/crates/nutmegkeel_core/src/l4/share.rs
+++ b/crates/nutmegkeel_core/src/l4/share.rs
@@ -1,14 +1,16 @@
-//! Which callers have had more than their share of a backend server that is short of room.
+//! Callers' shares of a backend server that is short of room, and which callers are beyond theirs.
 //!
-//! The load pattern: a few callers ask for more than all others together, and the server cannot do it all.
-//! First come, first served gives room in proportion to what is asked, so those who ask for little lose as
-//! much of it as those who caused the shortage.
+//! Shares matter when a few callers request more than all others together and the server cannot
+//! serve everything. First come, first served gives room in proportion to demand, so callers with
+//! little demand lose the same fraction of it as those that caused the shortage.
 //!
-//! An agent sees few requests of one caller and rarely two of them at once, so the share is one of work over
-//! the last seconds, not of places in a queue. It is the max-min share: what callers asked for is cut at the
-//! one level at which all together fit into what the server did. Only the callers that asked for most are
-//! told apart; the others ask for too little to be beyond any share. A process that starts knows nobody, and
-//! then nobody is beyond a share.
+//! An agent sees few requests of one caller, and rarely two of them at once. The share is therefore
+//! one of the work of the last seconds, not of positions in a queue. It is the max-min fair share:
+//! each caller's demand is capped at the one level at which all demand together fits into the work
+//! that the server did.
+//!
+//! Only the callers with the most demand are tracked; the others request too little to be beyond
+//! any share. A process that has just started tracks no callers, and then none is beyond its share.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -16,41 +18,42 @@
 
 use crate::clock::Time;
 
-/// Pause between two reckonings of the shares, in milliseconds: short beside the time that work counts.
+/// Interval between two updates of the shares, in milliseconds. It is short compared with the three
+/// seconds for which work counts.
 const RECKON_MS: u64 = 100;
 
-/// At each reckoning this power of a half of the work is forgotten, so that work counts for three seconds:
-/// long enough to meet a heavy caller several times at one of many agents.
+/// Decay of the recorded work: each update subtracts 1/2^5 of it, so that work counts for about
+/// three seconds. This is long enough for a heavy caller to reach one of many agents several times.
 const FORGET_SHIFT: u32 = 5;
 
-/// Reckonings after which nothing is left of the work that was done before.
+/// Number of updates after which all recorded work has decayed.
 const FORGOTTEN_AFTER: u64 = 256;
 
-/// Callers told apart at most. An agent serves some hundred requests in the time that work counts, so
-/// each caller that has come twice finds a place.
+/// Maximum number of tracked callers. An agent serves some hundred requests in the time that work
+/// counts, so each caller with two requests in that time can be tracked.
 pub const MOST_CALLERS: usize = 1_024;
 
-/// Failure domains told apart at most.
+/// Maximum number of tracked failure domains.
 pub const MOST_DOMAINS: usize = 64;
 
-/// A caller is forgotten when less is left of what it asked for than this part of one request.
+/// A caller is evicted when its remaining demand falls to 1/8 of one request.
 const TRACE: u64 = 8;
 
-/// How a caller stands with its share; those that compare as less go first.
+/// How the work of a caller compares with its share; lower values go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
-    /// It has had less than half of its share.
+    /// It used at most half of its share.
     Light,
-    /// It has had no more than its share.
+    /// It used no more than its share.
     Within,
-    /// The callers of its failure domain together have had more than their shares.
+    /// The callers of its failure domain together used more than their shares.
     DomainBeyond,
-    /// It has had more than its share itself.
+    /// It used more than its share itself.
     Beyond,
 }
 
 impl Standing {
-    /// Word for logs and metrics.
+    /// Returns the name for logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -62,7 +65,7 @@
     }
 }
 
-/// Work of the last seconds, in microseconds of a slot.
+/// Work of the last seconds, in microseconds for which a slot is occupied.
 #[derive(Clone, Copy, Debug, Default)]
 struct Work {
     asked_us: u64,
@@ -76,7 +79,8 @@
     }
 }
 
-/// Rounds down to zero in the end, as a plain shift would not.
+/// Subtracts the decayed part, rounded up, so that the work reaches zero. With a plain shift, a
+/// remainder would stay forever.
 const fn forget(work_us: u64) -> u64 {
     work_us - work_us.div_ceil(1 << FORGET_SHIFT)
 }
@@ -90,27 +94,28 @@
 #[derive(Debug, Default)]
 struct Domain {
     work: Work,
-    /// Whether its callers together had more than their shares at the last reckoning. What they receive
-    /// later is not compared with it: until the next reckoning every domain would seem to be beyond.
+    /// Whether its callers together were beyond their shares at the last update. Work after the
+    /// update is not compared with the shares, because every domain would then seem to be beyond
+    /// until the next update.
     is_beyond: bool,
 }
 
-/// What callers asked for and received lately.
+/// Recent demand and served work of callers and failure domains.
 #[derive(Debug, Default)]
 pub struct Shares {
     callers: BTreeMap<Ipv4Addr, Caller>,
     domains: BTreeMap<Arc<str>, Domain>,
     all: Work,
-    /// The share of one caller; none while the server does all that is asked.
+    /// Share of one caller; `None` while the server serves all requests.
     level_us: Option<u64>,
-    /// Work of one request, as last told.
+    /// Work of one request, from the latest call.
     request_us: u64,
     reckoned: Time,
 }
 
 impl Shares {
-    /// Notes that a caller asks for one request, which takes a slot for `work_us`, and the failure domain
-    /// that it comes from.
+    /// Records a request of a caller in a failure domain. The request occupies a slot for
+    /// `work_us`.
     pub fn ask(&mut self, now: Time, address: Ipv4Addr, domain: &Arc<str>, work_us: u64) {
         self.reckon_if_due(now);
         self.request_us = work_us;
@@ -129,7 +134,7 @@
         }
     }
 
-    /// Notes that the server takes a request of a caller.
+    /// Records that the server takes a request of a caller.
     pub fn receive(&mut self, now: Time, address: Ipv4Addr, work_us: u64) {
         self.reckon_if_due(now);
         self.all.received_us += work_us;
@@ -142,7 +147,7 @@
         }
     }
 
-    /// How a caller stands with its share.
+    /// Returns how the work of a caller compares with its share.
     #[must_use]
     pub fn standing(&self, address: Ipv4Addr) -> Standing {
         let (Some(share_us), Some(caller)) = (self.share_us(), self.callers.get(&address)) else {
@@ -162,14 +167,15 @@
         }
     }
 
-    /// Number of callers that are told apart.
+    /// Returns the number of tracked callers.
     #[must_use]
     pub fn callers(&self) -> usize {
         self.callers.len()
     }
 
-    /// Work that one caller may have had, in microseconds: one request at least, since nobody can have
-    /// less than that and be served at all. None while the server does all that is asked.
+    /// Returns the share of one caller, in microseconds of work; `None` while the server serves all
+    /// requests. It is at least one request, because a caller that is served at all cannot have
+    /// less.
     #[must_use]
     pub fn share_us(&self) -> Option<u64> {
         self.level_us.map(|level_us| level_us.max(self.request_us))
@@ -196,7 +202,8 @@
         self.domains.values_mut().for_each(|domain| domain.work.forget());
     }
 
-    /// Makes room for new callers: for one that asks for much may be among them.
+    /// Evicts callers with little demand, to make room for new callers. A heavy one may be among
+    /// them.
     fn drop_light(&mut self) {
         let trace_us = self.request_us / TRACE;
         self.callers.retain(|_, caller| caller.work.asked_us > trace_us);
@@ -214,8 +221,8 @@
         self.callers.values().map(|caller| caller.work.asked_us)
     }
 
-    /// Finds the level at which the callers' work, cut there, fits into what the server did. Callers that
-    /// are not told apart count with all that they asked for.
+    /// Computes the level at which the callers' capped demand fits into the work that the server
+    /// did. The demand of callers that are not tracked counts in full.
     fn reckon(&mut self) {
         let mut asked: Vec<u64> = self.asked().collect();
         asked.sort_unstable();
@@ -224,7 +231,8 @@
         self.reckon_domains();
     }
 
-    /// A failure domain's share is the sum of its callers' shares.
+    /// Updates which failure domains are beyond their shares. The share of a domain is the sum of
+    /// its callers' shares.
     fn reckon_domains(&mut self) {
         let share_us = self.share_us().unwrap_or(u64::MAX);
         let mut cut_us: BTreeMap<Arc<str>, u64> = BTreeMap::new();
@@ -240,8 +248,8 @@
     }
 }
 
-/// The level at which these amounts, in ascending order, add up to `total` when each is cut there; none if
-/// they fit without a cut.
+/// Returns the cap at which these amounts, in ascending order, add up to `total`; `None` if they
+/// fit without a cap.
 fn level(amounts: &[u64], total: u64) -> Option<u64> {
     let mut left = total;
     for (index, amount) in amounts.iter().enumerate() {
--- a/crates/nutmegkeel_core/src/l4/warmup.rs
+++ b/crates/nutmegkeel_core/src/l4/warmup.rs
@@ -1,38 +1,42 @@
-//! How many openings a backend server takes while it is cold.
+//! Limit on the rate of openings that a backend server takes while it is cold.
 //!
-//! The load pattern: a failure domain is taken back, or servers start again at full load. They are empty,
-//! so everybody sends them all that is new, in one moment, while they bear a fraction of it. The agent
-//! counts what its server was given, because it alone sees what all balancers send.
+//! The limit matters when a failure domain is taken back, or when servers restart at full load.
+//! They are idle, so all balancers send them all new flows at once, while they can serve only a
+//! fraction. The agent counts the openings of its server, because only the agent sees those of all
+//! balancers.
 
 use std::collections::VecDeque;
 
 use crate::clock::Time;
 
-/// A cold server's rate holds in any span of this length, in milliseconds: it is stated per second.
+/// Length of the sliding window in which the rate holds, in milliseconds. The rate is given per
+/// second.
 const SPAN_MS: u64 = 1_000;
 
-/// Counts the openings that a server was given within the last second.
+/// Counts the openings that were sent to a server within the last second.
 #[derive(Debug, Default)]
 pub struct Budget {
-    /// Openings a second that the server bears while it is cold; zero where no rate is given.
+    /// Maximum rate of openings while the server is cold, per second; zero if no rate is
+    /// configured.
     per_s: u32,
     given: VecDeque<Time>,
 }
 
 impl Budget {
-    /// Takes in the rate that the operator states.
+    /// Sets the rate that the operator configured.
     pub const fn set_rate(&mut self, per_s: u32) {
         self.per_s = per_s;
     }
 
-    /// Notes an opening that went to the server. A warm server's count too, and those without a rate: it
-    /// may turn cold within the same second, and a change of the rate reaches balancers unevenly.
+    /// Records an opening that was sent to the server. This includes openings to a warm server,
+    /// which may become cold within the same second, and openings without a rate, because a change
+    /// of the rate reaches balancers at different times.
     pub fn give(&mut self, now: Time) {
         self.expire(now);
         self.given.push_back(now);
     }
 
-    /// Openings that the server may be given now; none where no rate is given.
+    /// Returns how many openings the server may get now; `None` if no rate is configured.
     #[must_use]
     pub fn room(&self, now: Time) -> Option<u32> {
         if self.per_s == 0 {
