--- a/crates/nutmegkeel_core/src/l4/evacuation.rs
+++ b/crates/nutmegkeel_core/src/l4/evacuation.rs
@@ -82,7 +82,7 @@
 pub struct Follower {
     orders: Orders,
     /// When the store's current era was first seen, while orders of an earlier era are retained.
-    returned: Option<Time>,
+    era_changed_at: Option<Time>,
 }
 
 impl Follower {
@@ -100,7 +100,7 @@
         }
         self.replace(now, Orders { revision: as_of, domains });
         if !self.awaits_rewrite(now) {
-            self.returned = None;
+            self.era_changed_at = None;
         }
     }
 
@@ -113,7 +113,7 @@
 
     fn replace(&mut self, now: Time, mut orders: Orders) {
         if orders.revision.era > self.era() && self.orders.revision != Revision::ZERO {
-            self.returned = Some(now);
+            self.era_changed_at = Some(now);
         }
         if self.awaits_rewrite(now) {
             orders.domains.extend(self.orders.domains.iter().cloned());
@@ -124,20 +124,20 @@
     /// Returns whether orders of an earlier era are retained.
     #[must_use]
     pub const fn retains_earlier_era(&self) -> bool {
-        self.returned.is_some()
+        self.era_changed_at.is_some()
     }
 
     /// Returns whether orders of an earlier era are retained because the operator may still be
     /// rewriting them.
     fn awaits_rewrite(&self, now: Time) -> bool {
-        self.returned.is_some_and(|returned| now.since(returned) < REWRITE_MS)
+        self.era_changed_at.is_some_and(|at| now.since(at) < REWRITE_MS)
     }
 
     /// Returns whether a new snapshot is due. Orders retained from an earlier era are in the store
     /// only if the operator has rewritten them.
     #[must_use]
     pub fn needs_read(&self, now: Time) -> bool {
-        self.returned.is_some() && !self.awaits_rewrite(now)
+        self.era_changed_at.is_some() && !self.awaits_rewrite(now)
     }
 
     /// Returns the store era of the orders.
--- a/crates/nutmegkeel_core/src/l4/flow.rs
+++ b/crates/nutmegkeel_core/src/l4/flow.rs
@@ -98,9 +98,9 @@
 /// A packet has new data if its data ends at most this far after the data received before.
 pub const DATA_WINDOW: u32 = 1 << 30;
 
-/// Returns whether `number` is at most `reach` after `base`, modulo 2^32.
+/// Returns whether `number` is at most `window` after `base`, modulo 2^32.
 #[must_use]
-pub const fn follows(number: u32, base: u32, reach: u32) -> bool {
+pub const fn follows(number: u32, base: u32, window: u32) -> bool {
     let ahead = number.wrapping_sub(base);
-    ahead >= 1 && ahead <= reach
+    ahead >= 1 && ahead <= window
 }
--- a/crates/nutmegkeel_core/src/l4/share.rs
+++ b/crates/nutmegkeel_core/src/l4/share.rs
@@ -20,14 +20,14 @@
 
 /// Interval between two updates of the shares, in milliseconds. It is short compared with the three
 /// seconds for which work counts.
-const RECKON_MS: u64 = 100;
+const UPDATE_INTERVAL_MS: u64 = 100;
 
 /// Decay of the recorded work: each update subtracts 1/2^5 of it, so that work counts for about
 /// three seconds. This is long enough for a heavy caller to reach one of many agents several times.
-const FORGET_SHIFT: u32 = 5;
+const DECAY_SHIFT: u32 = 5;
 
 /// Number of updates after which all recorded work has decayed.
-const FORGOTTEN_AFTER: u64 = 256;
+const DECAYED_AFTER: u64 = 256;
 
 /// Maximum number of tracked callers. An agent serves some hundred requests in the time that work
 /// counts, so each caller with two requests in that time can be tracked.
@@ -37,7 +37,7 @@
 pub const MAX_DOMAINS: usize = 64;
 
 /// A caller is evicted when its remaining demand falls to 1/8 of one request.
-const TRACE: u64 = 8;
+const EVICTION_DIVISOR: u64 = 8;
 
 /// How the work of a caller compares with its share; lower values go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -68,21 +68,21 @@
 /// Work of the last seconds, in microseconds for which a slot is occupied.
 #[derive(Clone, Copy, Debug, Default)]
 struct Work {
-    asked_us: u64,
-    received_us: u64,
+    requested_us: u64,
+    served_us: u64,
 }
 
 impl Work {
-    const fn forget(&mut self) {
-        self.asked_us = forget(self.asked_us);
-        self.received_us = forget(self.received_us);
+    const fn decay(&mut self) {
+        self.requested_us = decay(self.requested_us);
+        self.served_us = decay(self.served_us);
     }
 }
 
 /// Subtracts the decayed part, rounded up, so that the work reaches zero. With a plain shift, a
 /// remainder would stay forever.
-const fn forget(work_us: u64) -> u64 {
-    work_us - work_us.div_ceil(1 << FORGET_SHIFT)
+const fn decay(work_us: u64) -> u64 {
+    work_us - work_us.div_ceil(1 << DECAY_SHIFT)
 }
 
 #[derive(Debug)]
@@ -110,7 +110,7 @@
     level_us: Option<u64>,
     /// Work of one request, from the latest call.
     request_us: u64,
-    reckoned: Time,
+    updated_at: Time,
 }
 
 impl Shares {
@@ -123,33 +123,33 @@
         domain: &Arc<str>,
         work_us: u64,
     ) {
-        self.reckon_if_due(now);
+        self.update_if_due(now);
         self.request_us = work_us;
-        self.all.asked_us += work_us;
+        self.all.requested_us += work_us;
         if let Some(caller) = self.callers.get_mut(&address) {
-            caller.work.asked_us += work_us;
+            caller.work.requested_us += work_us;
         } else if self.callers.len() < MAX_CALLERS {
-            let work = Work { asked_us: work_us, received_us: 0 };
+            let work = Work { requested_us: work_us, served_us: 0 };
             self.callers.insert(address, Caller { work, domain: Arc::clone(domain) });
         }
         if let Some(known) = self.domains.get_mut(domain) {
-            known.work.asked_us += work_us;
+            known.work.requested_us += work_us;
         } else if self.domains.len() < MAX_DOMAINS {
-            let work = Work { asked_us: work_us, received_us: 0 };
+            let work = Work { requested_us: work_us, served_us: 0 };
             self.domains.insert(Arc::clone(domain), Domain { work, is_beyond: false });
         }
     }
 
     /// Records that the server takes a request of a caller.
     pub fn record_served(&mut self, now: Time, address: Ipv4Addr, work_us: u64) {
-        self.reckon_if_due(now);
-        self.all.received_us += work_us;
+        self.update_if_due(now);
+        self.all.served_us += work_us;
         let Some(caller) = self.callers.get_mut(&address) else {
             return;
         };
-        caller.work.received_us += work_us;
+        caller.work.served_us += work_us;
         if let Some(domain) = self.domains.get_mut(&caller.domain) {
-            domain.work.received_us += work_us;
+            domain.work.served_us += work_us;
         }
     }
 
@@ -159,14 +159,14 @@
         let (Some(share_us), Some(caller)) = (self.share_us(), self.callers.get(&address)) else {
             return Standing::Light;
         };
-        let received_us = caller.work.received_us;
+        let served_us = caller.work.served_us;
         let is_domain_beyond =
             || self.domains.get(&caller.domain).is_some_and(|domain| domain.is_beyond);
-        if received_us > share_us {
+        if served_us > share_us {
             Standing::Beyond
         } else if is_domain_beyond() {
             Standing::DomainBeyond
-        } else if received_us > share_us / 2 {
+        } else if served_us > share_us / 2 {
             Standing::Within
         } else {
             Standing::Light
@@ -187,69 +187,69 @@
         self.level_us.map(|level_us| level_us.max(self.request_us))
     }
 
-    fn reckon_if_due(&mut self, now: Time) {
-        let rounds = now.since(self.reckoned) / RECKON_MS;
+    fn update_if_due(&mut self, now: Time) {
+        let rounds = now.since(self.updated_at) / UPDATE_INTERVAL_MS;
         if rounds == 0 {
             return;
         }
-        self.reckoned = now;
-        if rounds > FORGOTTEN_AFTER {
-            *self = Self { reckoned: now, ..Self::default() };
+        self.updated_at = now;
+        if rounds > DECAYED_AFTER {
+            *self = Self { updated_at: now, ..Self::default() };
             return;
         }
-        (0..rounds).for_each(|_| self.forget());
-        self.drop_light();
-        self.reckon();
+        (0..rounds).for_each(|_| self.decay());
+        self.evict_light();
+        self.compute_level();
     }
 
-    fn forget(&mut self) {
-        self.all.forget();
-        self.callers.values_mut().for_each(|caller| caller.work.forget());
-        self.domains.values_mut().for_each(|domain| domain.work.forget());
+    fn decay(&mut self) {
+        self.all.decay();
+        self.callers.values_mut().for_each(|caller| caller.work.decay());
+        self.domains.values_mut().for_each(|domain| domain.work.decay());
     }
 
     /// Evicts callers with little demand, to make room for new callers. A heavy one may be among
     /// them.
-    fn drop_light(&mut self) {
-        let trace_us = self.request_us / TRACE;
-        self.callers.retain(|_, caller| caller.work.asked_us > trace_us);
-        self.domains.retain(|_, domain| domain.work.asked_us > 0);
+    fn evict_light(&mut self) {
+        let eviction_us = self.request_us / EVICTION_DIVISOR;
+        self.callers.retain(|_, caller| caller.work.requested_us > eviction_us);
+        self.domains.retain(|_, domain| domain.work.requested_us > 0);
         if self.callers.len() < MAX_CALLERS {
             return;
         }
-        let mut asked: Vec<u64> = self.asked().collect();
-        let (_, limit, _) = asked.select_nth_unstable(MAX_CALLERS / 4);
+        let mut requested: Vec<u64> = self.requested().collect();
+        let (_, limit, _) = requested.select_nth_unstable(MAX_CALLERS / 4);
         let limit = *limit;
-        self.callers.retain(|_, caller| caller.work.asked_us > limit);
+        self.callers.retain(|_, caller| caller.work.requested_us > limit);
     }
 
-    fn asked(&self) -> impl Iterator<Item = u64> + '_ {
-        self.callers.values().map(|caller| caller.work.asked_us)
+    fn requested(&self) -> impl Iterator<Item = u64> + '_ {
+        self.callers.values().map(|caller| caller.work.requested_us)
     }
 
     /// Computes the level at which the callers' capped demand fits into the work that the server
     /// did. The demand of callers that are not tracked counts in full.
-    fn reckon(&mut self) {
-        let mut asked: Vec<u64> = self.asked().collect();
-        asked.sort_unstable();
-        let others_us = self.all.asked_us.saturating_sub(asked.iter().sum());
-        self.level_us = level(&asked, self.all.received_us.saturating_sub(others_us));
-        self.reckon_domains();
+    fn compute_level(&mut self) {
+        let mut requested: Vec<u64> = self.requested().collect();
+        requested.sort_unstable();
+        let others_us = self.all.requested_us.saturating_sub(requested.iter().sum());
+        self.level_us = level(&requested, self.all.served_us.saturating_sub(others_us));
+        self.compute_domains();
     }
 
     /// Updates which failure domains are beyond their shares. The share of a domain is the sum of
     /// its callers' shares.
-    fn reckon_domains(&mut self) {
+    fn compute_domains(&mut self) {
         let share_us = self.share_us().unwrap_or(u64::MAX);
         let mut cut_us: BTreeMap<Arc<str>, u64> = BTreeMap::new();
         for caller in self.callers.values() {
             let cut = cut_us.entry(Arc::clone(&caller.domain)).or_default();
-            *cut += caller.work.asked_us.saturating_sub(share_us);
+            *cut += caller.work.requested_us.saturating_sub(share_us);
         }
         for (name, domain) in &mut self.domains {
             let cut_us = cut_us.get(name).copied().unwrap_or_default();
-            let share_us = domain.work.asked_us.saturating_sub(cut_us);
-            domain.is_beyond = domain.work.received_us > share_us + self.request_us;
+            let share_us = domain.work.requested_us.saturating_sub(cut_us);
+            domain.is_beyond = domain.work.served_us > share_us + self.request_us;
         }
     }
 }
--- a/crates/nutmegkeel_core/src/l4/waiting.rs
+++ b/crates/nutmegkeel_core/src/l4/waiting.rs
@@ -30,15 +30,15 @@
 
 /// Under a lasting overload, the queue keeps as many requests as the slots can serve within this
 /// time, in milliseconds. Most of the objective is then left for the answer.
-const PATIENCE_MS: u64 = 100;
+const OVERLOAD_WAIT_MS: u64 = 100;
 
 /// An overload of up to this length is expected to end by itself, in milliseconds. Where callers
 /// compete for room, the objective of a late request is used instead.
-const CROWDING_MS: u64 = 300;
+const SHORT_OVERLOAD_MS: u64 = 300;
 
 /// Time that the queue waits for the first request on an accepted opening, in milliseconds. The
 /// request normally follows within one round trip.
-const FOLLOW_UP_MS: u64 = 300;
+const FIRST_REQUEST_TIMEOUT_MS: u64 = 300;
 
 /// Longest overload that counts as a burst, in milliseconds. By then all clients of a deployment
 /// that lost power have reconnected, and warm servers have served the requests that arrived at
@@ -65,10 +65,10 @@
 impl Waiting {
     /// Returns whether it should leave the queue: its request has not arrived in time, or an answer
     /// that takes `answer_ms` would miss the deadline.
-    fn is_over(&self, now: Time, answer_ms: u64) -> bool {
+    fn is_expired(&self, now: Time, answer_ms: u64) -> bool {
         match self.request {
             Some(_) => now.since(self.since) + answer_ms > u64::from(self.demand.deadline_ms),
-            None => now.since(self.opened) > FOLLOW_UP_MS,
+            None => now.since(self.opened) > FIRST_REQUEST_TIMEOUT_MS,
         }
     }
 
@@ -95,9 +95,9 @@
     turns_away: bool,
     flows: VecDeque<Waiting>,
     /// Since when more requests arrive than can be served.
-    pressed: Option<Time>,
+    overloaded_since: Option<Time>,
     /// Longest overload that counts as short, in milliseconds.
-    crowding_ms: u64,
+    short_overload_ms: u64,
     /// State for the order by urgency and share; `None` where callers do not compete for room.
     contended: Option<Contended>,
 }
@@ -110,8 +110,8 @@
             newest_first: policy.uses(Mechanism::NewestFirst),
             turns_away: policy.uses(Mechanism::TurningAway),
             flows: VecDeque::new(),
-            pressed: None,
-            crowding_ms: CROWDING_MS,
+            overloaded_since: None,
+            short_overload_ms: SHORT_OVERLOAD_MS,
             contended: Contended::open(policy),
         }
     }
@@ -120,7 +120,7 @@
     /// because it would then be taken for the newest.
     pub fn push(&mut self, waiting: Waiting) {
         if self.flows.is_empty() {
-            self.pressed = None;
+            self.overloaded_since = None;
         }
         let is_before = |other: &&Waiting| other.since > waiting.since;
         let newer = self.flows.iter().rev().take_while(is_before).count();
@@ -161,14 +161,15 @@
     /// lost would stay behind all newer ones for as long as a backlog lasts. A late answer is worth
     /// the same at any time before the deadline, and the oldest request has the least time left.
     pub fn pop(&mut self, now: Time, answer_ms: u64) -> Option<(Waiting, Head)> {
-        let came = |waiting: &Waiting| waiting.request.is_some();
-        let in_time = |waiting: &Waiting| came(waiting) && waiting.is_in_time(now, answer_ms);
-        let may_be = |waiting: &Waiting| came(waiting) && waiting.is_in_time(now, 0);
-        let oldest_first = self.is_short(now) || !self.newest_first;
+        let has_request = |waiting: &Waiting| waiting.request.is_some();
+        let in_time =
+            |waiting: &Waiting| has_request(waiting) && waiting.is_in_time(now, answer_ms);
+        let may_be_in_time = |waiting: &Waiting| has_request(waiting) && waiting.is_in_time(now, 0);
+        let oldest_first = self.is_short_overload(now) || !self.newest_first;
         let timely = if oldest_first { self.flows.iter().position(in_time) } else { None };
-        let hopeful = || self.flows.iter().rposition(may_be);
-        let late = || self.flows.iter().position(came);
-        let next = timely.or_else(hopeful).or_else(late)?;
+        let possible = || self.flows.iter().rposition(may_be_in_time);
+        let late = || self.flows.iter().position(has_request);
+        let next = timely.or_else(possible).or_else(late)?;
         let waiting = self.flows.remove(next)?;
         let request = waiting.request?;
         Some((waiting, request))
@@ -176,14 +177,14 @@
 
     /// Removes and returns the flows that need not wait any more, if an answer takes `answer_ms`.
     pub fn take_expired(&mut self, now: Time, answer_ms: u64) -> Vec<Waiting> {
-        let is_over = |waiting: &Waiting| waiting.is_over(now, answer_ms);
-        let mut late = VecDeque::new();
+        let is_expired = |waiting: &Waiting| waiting.is_expired(now, answer_ms);
+        let mut expired = VecDeque::new();
         // This runs with every packet, so the queue is rebuilt only when a flow leaves it.
-        if self.flows.iter().any(is_over) {
-            (late, self.flows) = self.flows.drain(..).partition(is_over);
+        if self.flows.iter().any(is_expired) {
+            (expired, self.flows) = self.flows.drain(..).partition(is_expired);
         }
-        self.note_pressure(now, answer_ms);
-        late.into()
+        self.update_overload(now, answer_ms);
+        expired.into()
     }
 
     /// Removes and returns the oldest requests beyond what the slots can serve, once an overload
@@ -192,11 +193,11 @@
     /// During a burst it removes none. A refused client retries at once, so hundreds of clients
     /// would use up their attempts within a second while servers still work on the burst.
     pub fn take_excess(&mut self, now: Time, slots: u64, request_us: u64) -> Vec<Waiting> {
-        let is_burst = self.pressed.is_none_or(|since| now.since(since) <= BURST_MS);
+        let is_burst = self.overloaded_since.is_none_or(|since| now.since(since) <= BURST_MS);
         if is_burst || !self.turns_away {
             return Vec::new();
         }
-        let room = slots * PATIENCE_MS * 1_000 / request_us.max(1);
+        let room = slots * OVERLOAD_WAIT_MS * 1_000 / request_us.max(1);
         let room = usize::try_from(room.max(slots)).unwrap_or(usize::MAX);
         let excess = self.flows.len().saturating_sub(room);
         self.flows.drain(..excess).collect()
@@ -220,19 +221,19 @@
     }
 
     /// Returns whether there is no overload, or only one that may end by itself.
-    fn is_short(&self, now: Time) -> bool {
-        self.pressed.is_none_or(|since| now.since(since) <= self.crowding_ms)
+    fn is_short_overload(&self, now: Time) -> bool {
+        self.overloaded_since.is_none_or(|since| now.since(since) <= self.short_overload_ms)
     }
 
     /// Records the start of an overload: the oldest request is late. The overload ends when a flow
     /// finds the queue empty.
-    fn note_pressure(&mut self, now: Time, answer_ms: u64) {
+    fn update_overload(&mut self, now: Time, answer_ms: u64) {
         if self.is_contended() {
-            self.note_contention(now, answer_ms);
+            self.update_contended_overload(now, answer_ms);
             return;
         }
         if self.flows.front().is_some_and(|oldest| !oldest.is_in_time(now, answer_ms)) {
-            self.pressed.get_or_insert(now);
+            self.overloaded_since.get_or_insert(now);
         }
     }
 }
--- a/crates/nutmegkeel_core/src/l4/waiting/contended.rs
+++ b/crates/nutmegkeel_core/src/l4/waiting/contended.rs
@@ -18,9 +18,9 @@
     by_urgency: bool,
     pub(super) floor: Floor,
     /// When the queue was last checked for unservable requests.
-    pub(super) looked: Time,
+    pub(super) checked_at: Time,
     /// When a request was last late or refused.
-    pub(super) last_trouble: Time,
+    pub(super) last_overload_at: Time,
 }
 
 impl Contended {
@@ -38,7 +38,7 @@
 
 /// Ranks requests at one point in time.
 #[derive(Clone, Copy)]
-pub(super) struct Moment<'a> {
+pub(super) struct Ranker<'a> {
     pub(super) now: Time,
     pub(super) capacity: &'a Capacity,
     pub(super) shares: &'a Shares,
@@ -46,7 +46,7 @@
     pub(super) newest_first: Option<Urgency>,
 }
 
-impl Moment<'_> {
+impl Ranker<'_> {
     pub(super) fn class(&self, contended: &Contended, waiting: &Waiting) -> Class {
         let timeliness = Timeliness::of(self.now, waiting, self.capacity);
         Class::new(contended.urgency(waiting), timeliness)
@@ -55,9 +55,9 @@
     pub(super) fn rank(&self, class: Class, waiting: &Waiting) -> Rank {
         let standing = self.shares.standing(*waiting.flow.client.ip());
         let due = waiting.due().millis();
-        let is_crowded = self.newest_first.is_some_and(|from| class.urgency >= from);
-        let turn = if is_crowded && class.may_reverse() { u64::MAX - due } else { due };
-        Rank { class, standing, turn }
+        let newest_first = self.newest_first.is_some_and(|from| class.urgency >= from);
+        let order = if newest_first && class.may_reverse() { u64::MAX - due } else { due };
+        Rank { class, standing, order }
     }
 }
 
@@ -86,20 +86,21 @@
         capacity: &Capacity,
         shares: &Shares,
     ) -> Option<(Waiting, Head, Standing)> {
-        let moment = self.moment(now, capacity, shares);
+        let ranker = self.ranker(now, capacity, shares);
         let contended = self.contended.as_ref()?;
-        let (best, rank) = self.first(&moment, contended, None)?;
+        let (best, rank) = self.highest_ranked(&ranker, contended, None)?;
         let first = rank.class.urgency;
         let others = self.requests().map(|(_, waiting)| contended.urgency(waiting));
-        let neglected = others.filter(|urgency| *urgency > first);
-        let neglected = neglected.min_by_key(|urgency| contended.floor.last(*urgency));
-        let owed = neglected.filter(|_| contended.floor.is_due());
-        let owed = owed.and_then(|urgency| self.first(&moment, contended, Some(urgency)));
-        let (index, rank) = owed.unwrap_or((best, rank));
+        let less_urgent = others.filter(|urgency| *urgency > first);
+        let less_urgent = less_urgent.min_by_key(|urgency| contended.floor.last_served(*urgency));
+        let from_floor = less_urgent.filter(|_| contended.floor.is_due());
+        let from_floor =
+            from_floor.and_then(|urgency| self.highest_ranked(&ranker, contended, Some(urgency)));
+        let (index, rank) = from_floor.unwrap_or((best, rank));
         if let Some(contended) = self.contended.as_mut() {
-            match owed {
-                Some(_) => contended.floor.note_owed(rank.class.urgency),
-                None => contended.floor.note(rank.class.urgency, neglected.is_some()),
+            match from_floor {
+                Some(_) => contended.floor.record_floor(rank.class.urgency),
+                None => contended.floor.record(rank.class.urgency, less_urgent.is_some()),
             }
         }
         let waiting = self.flows.remove(index)?;
@@ -109,28 +110,28 @@
 
     /// Records whether there is an overload. It starts when a request is late, and ends when none
     /// has been late or refused for the length of an objective.
-    pub(super) fn note_contention(&mut self, now: Time, answer_ms: u64) {
+    pub(super) fn update_contended_overload(&mut self, now: Time, answer_ms: u64) {
         let Some(contended) = self.contended.as_mut() else {
             return;
         };
         let late = self.flows.iter().find(|waiting| !waiting.is_in_time(now, answer_ms));
         if let Some(late) = late {
-            contended.last_trouble = now;
-            self.pressed.get_or_insert(now);
-            self.crowding_ms = u64::from(late.demand.objective_ms);
-        } else if now.since(contended.last_trouble) > self.crowding_ms {
-            self.pressed = None;
+            contended.last_overload_at = now;
+            self.overloaded_since.get_or_insert(now);
+            self.short_overload_ms = u64::from(late.demand.objective_ms);
+        } else if now.since(contended.last_overload_at) > self.short_overload_ms {
+            self.overloaded_since = None;
         }
     }
 
-    fn moment<'a>(&self, now: Time, capacity: &'a Capacity, shares: &'a Shares) -> Moment<'a> {
-        let may_reverse = self.newest_first && !self.is_short(now);
-        let newest_first = may_reverse.then(|| self.crowded_from(now, capacity)).flatten();
-        Moment { now, capacity, shares, newest_first }
+    fn ranker<'a>(&self, now: Time, capacity: &'a Capacity, shares: &'a Shares) -> Ranker<'a> {
+        let may_reverse = self.newest_first && !self.is_short_overload(now);
+        let newest_first = may_reverse.then(|| self.overloaded_from(now, capacity)).flatten();
+        Ranker { now, capacity, shares, newest_first }
     }
 
     /// Returns the most urgent class in which not all requests that can be in time now will be.
-    fn crowded_from(&self, now: Time, capacity: &Capacity) -> Option<Urgency> {
+    fn overloaded_from(&self, now: Time, capacity: &Capacity) -> Option<Urgency> {
         let contended = self.contended.as_ref()?;
         let classes: BTreeSet<Urgency> =
             self.requests().map(|(_, waiting)| contended.urgency(waiting)).collect();
@@ -163,20 +164,20 @@
 
     /// Returns the request that ranks highest, among those of one urgency if `of` is given. Shares
     /// are looked up only where classes are equal.
-    fn first(
+    fn highest_ranked(
         &self,
-        moment: &Moment,
+        ranker: &Ranker,
         contended: &Contended,
         of: Option<Urgency>,
     ) -> Option<(usize, Rank)> {
         let mut best: Option<(usize, Rank)> = None;
         for (index, waiting) in self.requests() {
-            let class = moment.class(contended, waiting);
+            let class = ranker.class(contended, waiting);
             let is_meant = of.is_none_or(|urgency| urgency == class.urgency);
             if !is_meant || best.is_some_and(|(_, rank)| rank.class < class) {
                 continue;
             }
-            let rank = moment.rank(class, waiting);
+            let rank = ranker.rank(class, waiting);
             if best.is_none_or(|(_, other)| rank < other) {
                 best = Some((index, rank));
             }
--- a/crates/nutmegkeel_core/src/l4/waiting/floor.rs
+++ b/crates/nutmegkeel_core/src/l4/waiting/floor.rs
@@ -31,7 +31,7 @@
     /// The slots that the floor keeps for the class would then find no request to serve.
     pub(super) fn of(&self, urgency: Urgency, floor: &Floor) -> usize {
         let own = self.of_class[usize::from(urgency.number())];
-        self.all.min(own * usize::from(FLOOR_EVERY) + floor.left())
+        self.all.min(own * usize::from(FLOOR_EVERY) + floor.remaining())
     }
 }
 
@@ -39,39 +39,39 @@
 #[derive(Debug, Default)]
 pub(super) struct Floor {
     /// Number of consecutive requests that were served while a less urgent one waited.
-    passed_by: u8,
+    skips: u8,
     /// Number of the last request of each class that was served.
-    last: [u64; CLASSES],
-    count: u64,
+    last_served: [u64; CLASSES],
+    served: u64,
 }
 
 impl Floor {
     /// Returns whether a less urgent request goes next.
     pub(super) const fn is_due(&self) -> bool {
-        self.passed_by + 1 >= FLOOR_EVERY
+        self.skips + 1 >= FLOOR_EVERY
     }
 
     /// Returns the number of the last request of the class that was served. The class with the
     /// lowest number has waited longest.
-    pub(super) fn last(&self, urgency: Urgency) -> u64 {
-        self.last[usize::from(urgency.number())]
+    pub(super) fn last_served(&self, urgency: Urgency) -> u64 {
+        self.last_served[usize::from(urgency.number())]
     }
 
     /// Records a request served in the usual order, and whether a less urgent one waits.
-    pub(super) fn note(&mut self, urgency: Urgency, passes_by: bool) {
-        self.count += 1;
-        self.last[usize::from(urgency.number())] = self.count;
-        self.passed_by = (self.passed_by + u8::from(passes_by)).min(FLOOR_EVERY);
+    pub(super) fn record(&mut self, urgency: Urgency, skips_other: bool) {
+        self.served += 1;
+        self.last_served[usize::from(urgency.number())] = self.served;
+        self.skips = (self.skips + u8::from(skips_other)).min(FLOOR_EVERY);
     }
 
     /// Records a request of a less urgent class that is served although a more urgent one waits.
-    pub(super) fn note_owed(&mut self, urgency: Urgency) {
-        self.note(urgency, false);
-        self.passed_by = 0;
+    pub(super) fn record_floor(&mut self, urgency: Urgency) {
+        self.record(urgency, false);
+        self.skips = 0;
     }
 
     /// Returns the number of requests that go before a less urgent class is next.
-    fn left(&self) -> usize {
-        usize::from(FLOOR_EVERY - self.passed_by)
+    fn remaining(&self) -> usize {
+        usize::from(FLOOR_EVERY - self.skips)
     }
 }
--- a/crates/nutmegkeel_core/src/l4/waiting/rank.rs
+++ b/crates/nutmegkeel_core/src/l4/waiting/rank.rs
@@ -116,5 +116,5 @@
 pub(super) struct Rank {
     pub(super) class: Class,
     pub(super) standing: Standing,
-    pub(super) turn: u64,
+    pub(super) order: u64,
 }
--- a/crates/nutmegkeel_core/src/l4/waiting/refusal.rs
+++ b/crates/nutmegkeel_core/src/l4/waiting/refusal.rs
@@ -1,7 +1,7 @@
 //! Refusal of requests as soon as it is known that they cannot be served, where callers compete for
 //! room.
 
-use super::contended::{Contended, Moment};
+use super::contended::{Contended, Ranker};
 use super::floor::Ahead;
 use super::rank::{Capacity, Class, Rank};
 use super::{Queue, Waiting};
@@ -11,7 +11,7 @@
 
 /// Interval between two checks for unservable requests, in milliseconds. Each check sorts the whole
 /// queue.
-const LOOK_MS: u64 = 20;
+const CHECK_INTERVAL_MS: u64 = 20;
 
 impl Queue {
     /// Removes and returns the requests that may be refused and that cannot be served.
@@ -29,30 +29,30 @@
         shares: &Shares,
         may_refuse: impl Fn(&Flow) -> bool,
     ) -> Vec<Waiting> {
-        let is_due = |contended: &Contended| now.since(contended.looked) >= LOOK_MS;
+        let is_due = |contended: &Contended| now.since(contended.checked_at) >= CHECK_INTERVAL_MS;
         if !self.turns_away || !self.contended.as_ref().is_some_and(is_due) {
             return Vec::new();
         }
-        let moment = Moment { now, capacity, shares, newest_first: None };
-        let unservable = self.unservable(&moment, may_refuse);
+        let ranker = Ranker { now, capacity, shares, newest_first: None };
+        let unservable = self.unservable(&ranker, may_refuse);
         if let Some(contended) = self.contended.as_mut() {
-            contended.looked = now;
+            contended.checked_at = now;
             if !unservable.is_empty() {
-                contended.last_trouble = now;
+                contended.last_overload_at = now;
             }
         }
-        unservable.iter().filter_map(|flow| self.take(flow)).collect()
+        unservable.iter().filter_map(|flow| self.remove_flow(flow)).collect()
     }
 
-    fn unservable(&self, moment: &Moment, may_refuse: impl Fn(&Flow) -> bool) -> Vec<Flow> {
+    fn unservable(&self, ranker: &Ranker, may_refuse: impl Fn(&Flow) -> bool) -> Vec<Flow> {
         let Some(contended) = self.contended.as_ref() else {
             return Vec::new();
         };
         let mut unservable = Vec::new();
         let mut ahead = Ahead::default();
-        for (class, waiting) in self.in_order(moment) {
+        for (class, waiting) in self.ranked_requests(ranker) {
             let before = ahead.of(class.urgency, &contended.floor);
-            if may_refuse(&waiting.flow) && !self.is_servable(moment, waiting, before) {
+            if may_refuse(&waiting.flow) && !self.is_servable(ranker, waiting, before) {
                 unservable.push(waiting.flow);
             } else {
                 ahead.add(class.urgency);
@@ -70,29 +70,29 @@
         shares: &Shares,
         waiting: &Waiting,
     ) -> bool {
-        let is_borne = self.has_room(now, capacity, shares, waiting);
-        if let Some(contended) = self.contended.as_mut().filter(|_| !is_borne) {
-            contended.last_trouble = now;
+        let can_serve = self.fits(now, capacity, shares, waiting);
+        if let Some(contended) = self.contended.as_mut().filter(|_| !can_serve) {
+            contended.last_overload_at = now;
         }
-        is_borne
+        can_serve
     }
 
-    fn has_room(&self, now: Time, capacity: &Capacity, shares: &Shares, waiting: &Waiting) -> bool {
+    fn fits(&self, now: Time, capacity: &Capacity, shares: &Shares, waiting: &Waiting) -> bool {
         let Some(contended) = self.contended.as_ref().filter(|_| self.turns_away) else {
             return true;
         };
-        let moment = Moment { now, capacity, shares, newest_first: None };
-        let rank = |waiting: &Waiting| moment.rank(moment.class(contended, waiting), waiting);
+        let ranker = Ranker { now, capacity, shares, newest_first: None };
+        let rank = |waiting: &Waiting| ranker.rank(ranker.class(contended, waiting), waiting);
         let own = rank(waiting);
         let mut ahead = Ahead::default();
         let others = self.flows.iter().map(rank).filter(|other| *other <= own);
         others.for_each(|other| ahead.add(other.class.urgency));
         let ahead = ahead.of(own.class.urgency, &contended.floor);
-        self.is_servable(&moment, waiting, ahead)
+        self.is_servable(&ranker, waiting, ahead)
     }
 
-    fn is_servable(&self, moment: &Moment, waiting: &Waiting, ahead: usize) -> bool {
-        let Moment { now, capacity, .. } = *moment;
+    fn is_servable(&self, ranker: &Ranker, waiting: &Waiting, ahead: usize) -> bool {
+        let Ranker { now, capacity, .. } = *ranker;
         // Guards against refusing a client twice in a row: a client that retries is accepted as
         // long as it could be answered if it went next.
         let ahead = if waiting.is_retry { 0 } else { ahead };
@@ -100,18 +100,18 @@
         waiting.left_ms(now) >= start_ms + capacity.answer_ms()
     }
 
-    fn in_order(&self, moment: &Moment) -> Vec<(Class, &Waiting)> {
+    fn ranked_requests(&self, ranker: &Ranker) -> Vec<(Class, &Waiting)> {
         let Some(contended) = self.contended.as_ref() else {
             return Vec::new();
         };
-        let rank = |waiting: &Waiting| moment.rank(moment.class(contended, waiting), waiting);
+        let rank = |waiting: &Waiting| ranker.rank(ranker.class(contended, waiting), waiting);
         let mut ranked: Vec<(Rank, &Waiting)> =
             self.requests().map(|(_, waiting)| (rank(waiting), waiting)).collect();
         ranked.sort_by_key(|(rank, _)| *rank);
         ranked.into_iter().map(|(rank, waiting)| (rank.class, waiting)).collect()
     }
 
-    fn take(&mut self, flow: &Flow) -> Option<Waiting> {
+    fn remove_flow(&mut self, flow: &Flow) -> Option<Waiting> {
         let index = self.flows.iter().position(|waiting| waiting.flow == *flow)?;
         self.flows.remove(index)
     }
--- a/crates/nutmegkeel_core/src/l4/warmup.rs
+++ b/crates/nutmegkeel_core/src/l4/warmup.rs
@@ -11,7 +11,7 @@
 
 /// Length of the sliding window in which the rate holds, in milliseconds. The rate is given per
 /// second.
-const SPAN_MS: u64 = 1_000;
+const WINDOW_MS: u64 = 1_000;
 
 /// Counts the openings that were sent to a server within the last second.
 #[derive(Debug, Default)]
@@ -19,7 +19,7 @@
     /// Maximum rate of openings while the server is cold, per second; zero if no rate is
     /// configured.
     per_s: u32,
-    given: VecDeque<Time>,
+    recent: VecDeque<Time>,
 }
 
 impl Budget {
@@ -33,7 +33,7 @@
     /// of the rate reaches balancers at different times.
     pub fn record(&mut self, now: Time) {
         self.expire(now);
-        self.given.push_back(now);
+        self.recent.push_back(now);
     }
 
     /// Returns how many openings the server may get now; `None` if no rate is configured.
@@ -42,13 +42,13 @@
         if self.per_s == 0 {
             return None;
         }
-        let recent = self.given.iter().rev().take_while(|at| now.since(**at) <= SPAN_MS).count();
+        let recent = self.recent.iter().rev().take_while(|at| now.since(**at) <= WINDOW_MS).count();
         Some(self.per_s.saturating_sub(u32::try_from(recent).unwrap_or(u32::MAX)))
     }
 
     fn expire(&mut self, now: Time) {
-        while self.given.front().is_some_and(|at| now.since(*at) > SPAN_MS) {
-            self.given.pop_front();
+        while self.recent.front().is_some_and(|at| now.since(*at) > WINDOW_MS) {
+            self.recent.pop_front();
         }
     }
 }
