--- a/crates/nutmegkeel_core/tests/l4/contended.rs
+++ b/crates/nutmegkeel_core/tests/l4/contended.rs
@@ -1,4 +1,4 @@
-//! Callers that compete for one backend server, in virtual time.
+//! Simulation, in virtual time, of callers that compete for one backend server.
 
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -18,18 +18,18 @@
 pub(crate) const OBJECTIVE_MS: u32 = 300;
 pub(crate) const DEADLINE_MS: u32 = 4_000;
 
-/// Requests that the server works on at once, and those that it is given ahead.
+/// Number of requests that the server works on at once, and number of those queued at the server.
 const SLOTS: usize = 3;
 const AHEAD: usize = 2;
 
-/// A request takes a slot for a time in this range, in milliseconds.
+/// Shortest and longest time for which a request occupies a slot, in milliseconds.
 const SHORTEST_MS: u64 = 35;
 const LONGEST_MS: u64 = 65;
 
-/// What the slots bear in a second.
+/// Number of requests that the slots can serve per second.
 pub(crate) const BEARS_PER_S: f64 = 60.0;
 
-/// The policy of a deployment whose callers compete for room, without some mechanisms.
+/// Returns the policy of a deployment whose callers compete for room, without some mechanisms.
 pub(crate) fn contention(without: &[Mechanism]) -> Policy {
     Policy::without(without.iter().copied()).under([Condition::Contention])
 }
@@ -38,7 +38,7 @@
     Urgency::new(number).expect("an urgency")
 }
 
-/// Requests of some callers of a failure domain, at a steady rate in a span of time.
+/// Source of requests: callers of one failure domain, at a steady rate during a time range.
 #[derive(Clone, Debug)]
 pub(crate) struct Source {
     pub(crate) urgency: u8,
@@ -49,18 +49,18 @@
     pub(crate) until_ms: u64,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum End {
     InTime,
     Late,
-    /// Refused while there was time left.
+    /// Refused before its deadline.
     Refused,
-    /// Its deadline was about to pass.
+    /// Removed because an answer would have missed the deadline.
     Expired,
 }
 
-/// One request that has ended.
+/// Request that has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ended {
     pub(crate) source: usize,
@@ -68,7 +68,7 @@
     pub(crate) end: End,
 }
 
-/// The replay.
+/// Simulated agent queue and backend server.
 pub(crate) struct Replay {
     pub(crate) queue: Queue,
     pub(crate) shares: Shares,
@@ -104,7 +104,7 @@
         self.run_with(until_ms, |_, _| {});
     }
 
-    /// Runs, and lets something else happen at each millisecond.
+    /// Runs the simulation, and calls `happen` at each millisecond.
     pub(crate) fn run_with(&mut self, until_ms: u64, mut happen: impl FnMut(&mut Self, u64)) {
         for now in 0..until_ms {
             happen(self, now);
@@ -198,7 +198,7 @@
         (SHORTEST_MS + LONGEST_MS) * 1_000 / 2
     }
 
-    /// Requests of a source that came in a span of time and ended so.
+    /// Returns how many requests of a source arrived in a time range and had this outcome.
     pub(crate) fn count(&self, source: usize, from_ms: u64, until_ms: u64, end: End) -> usize {
         let is_meant = |ended: &&Ended| {
             let came = ended.came_ms;
@@ -207,7 +207,7 @@
         self.ended.iter().filter(is_meant).count()
     }
 
-    /// Part of a source's requests of a span of time that were answered in time.
+    /// Returns the fraction of a source's requests of a time range that were answered in time.
     pub(crate) fn in_time(&self, source: usize, from_ms: u64, until_ms: u64) -> f64 {
         let ends = [End::InTime, End::Late, End::Refused, End::Expired];
         let counts = ends.map(|end| self.count(source, from_ms, until_ms, end));
@@ -215,7 +215,7 @@
     }
 }
 
-/// One count as a part of another.
+/// Returns `count` as a fraction of `all`.
 pub(crate) fn part(count: usize, all: usize) -> f64 {
     let number = |count: usize| f64::from(u32::try_from(count).expect("a short replay"));
     number(count) / number(all.max(1))
@@ -226,7 +226,7 @@
     Demand { objective_ms: OBJECTIVE_MS, deadline_ms: DEADLINE_MS, once: false, urgency }
 }
 
-/// A caller's request that came now, on a flow with a number of its own.
+/// Returns a request of a caller that arrives at `now`, on a flow with this number.
 pub(crate) fn request(address: Ipv4Addr, number: u32, now: u64, demand: Demand) -> Waiting {
     let port = u16::try_from(number % 60_000).expect("a port");
     let client = SocketAddrV4::new(address, 1_024 + port);
--- a/crates/nutmegkeel_core/tests/l4/evacuated_fleet.rs
+++ b/crates/nutmegkeel_core/tests/l4/evacuated_fleet.rs
@@ -1,5 +1,6 @@
-//! A small fleet in virtual time, with lost, repeated and reordered messages at every step, and with
-//! crashes or a balancer that sleeps: once an evacuation is known, no new flow reaches a server there.
+//! Simulation of a small fleet in virtual time, with lost, repeated and reordered messages, and
+//! with crashes or a paused balancer. Once an evacuation is known, no new flow reaches a server
+//! there.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -19,10 +20,10 @@
 /// The failure domain that is evacuated, and the other one.
 const DOMAINS: [&str; 2] = ["osu", "tema"];
 
-/// Balancers and agents in each failure domain.
+/// Number of balancers, and of agents, in each failure domain.
 const EACH: u8 = 2;
 
-/// Pause between two steps, in milliseconds: a tick of the agents.
+/// Interval between two ticks of the agents, in milliseconds.
 const STEP_MS: u64 = 100;
 
 fn balancer_address(number: u8) -> Ipv4Addr {
@@ -33,7 +34,7 @@
     DOMAINS[usize::from(number / EACH)]
 }
 
-/// A message on its way, with the packet behind it.
+/// A message in flight, with the packet that it carries.
 #[derive(Clone)]
 struct Letter {
     from: Ipv4Addr,
@@ -46,11 +47,11 @@
     now: u64,
     balancers: Vec<Balancer>,
     agents: Vec<Agent>,
-    /// Packets that a balancer keeps.
+    /// Packets that each balancer keeps.
     kept: Vec<BTreeMap<Flow, Head>>,
     letters: Vec<Letter>,
     ports: u16,
-    /// New flows that servers in the evacuated failure domain were given, and those of the other.
+    /// Number of new flows at servers in the evacuated failure domain, and in the other one.
     given: [usize; 2],
 }
 
@@ -74,7 +75,7 @@
         fleet
     }
 
-    /// Lets time pass with every message delivered in order, but for those to a process that sleeps.
+    /// Advances the time and delivers all messages in order, except those to a paused process.
     fn settle(&mut self, millis: u64, asleep: Option<Ipv4Addr>) {
         for _ in 0..millis / STEP_MS {
             self.pass();
@@ -100,7 +101,7 @@
         }
     }
 
-    /// One random step; processes are killed and start again if `crashes`.
+    /// Runs one random step; processes restart only if `crashes` is set.
     fn step(&mut self, kind: u8, argument: u8, crashes: bool) {
         let number = argument % (2 * EACH);
         match kind % 9 {
@@ -174,7 +175,7 @@
                         self.balance(number, balancer::Event::Again(head), Some(head));
                     }
                 }
-                // Whoever says that it has a newer configuration hands it over.
+                // The process that announced a newer configuration delivers it.
                 balancer::Action::Fetch(_) => self.balance(number, configured(), None),
                 _ => {}
             }
@@ -264,8 +265,8 @@
     })
 }
 
-/// A fleet in which every process but one that sleeps knows that the first failure domain is evacuated.
-/// Agents hold copies of the configuration.
+/// Returns a fleet in which every process, except a paused one, knows that the first failure domain
+/// is evacuated. Agents hold copies of the configuration.
 fn evacuated(asleep: Option<u8>) -> Fleet {
     let mut fleet = Fleet::open();
     fleet.settle(3_000, None);
@@ -305,8 +306,8 @@
     assert!(fleet.given[0] > 0, "{:?}", fleet.given);
 }
 
-/// Whether no server of the evacuated domain is given a flow, in these steps and when what was on its way
-/// or kept has arrived.
+/// Returns whether no server of the evacuated domain gets a new flow during these steps, and after
+/// all messages in flight and all kept packets were delivered.
 fn holds(mut fleet: Fleet, steps: &[(u8, u8)], crashes: bool) -> bool {
     let holds = steps.iter().all(|(kind, argument)| {
         fleet.step(*kind, *argument, crashes);
@@ -317,13 +318,15 @@
 }
 
 quickcheck! {
-    /// A balancer that starts again has the configuration from an agent before it hears of the orders, and
-    /// the agent that it would choose has started again too and knows none.
+    /// Guards against a restarted balancer that gets the configuration from an agent before it
+    /// receives the orders, and places a flow at an agent that has restarted too and knows no
+    /// orders.
     fn crashes_open_no_evacuated_domain(steps: Vec<(u8, u8)>) -> bool {
         holds(evacuated(None), &steps, true)
     }
 
-    /// A balancer slept through the order and places by the ones before it: the agents have the last word.
+    /// Guards against a paused balancer that missed the order and places flows by earlier ones:
+    /// agents must decline them.
     fn a_balancer_that_slept_opens_no_evacuated_domain(steps: Vec<(u8, u8)>) -> bool {
         holds(evacuated(Some(1)), &steps, false)
     }
--- a/crates/nutmegkeel_core/tests/l4/evacuation.rs
+++ b/crates/nutmegkeel_core/tests/l4/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated failure domains: what balancers and agents do with new flows, and which word wins.
+//! Tests of evacuated failure domains: where new flows go, and which orders are in force.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -27,7 +27,7 @@
     Orders { revision: revision(number), domains }
 }
 
-/// Lets an agent of the other failure domain announce itself each 300 ms.
+/// Delivers an announcement of an agent in the other failure domain each 300 ms.
 fn announce_far(balancer: &mut Balancer, agent: u8, from_ms: u64, until_ms: u64) {
     for millis in (from_ms..=until_ms).step_by(300) {
         let word = announcement(millis + 100, State::Ready, Load::default());
@@ -36,7 +36,7 @@
     }
 }
 
-/// A balancer with three agents at home, and a fourth in the other failure domain.
+/// Returns a balancer with three agents in its own failure domain, and a fourth in the other one.
 fn balancer_of_two() -> Balancer {
     let mut balancer = balancer(&[1, 2, 3]);
     announce_far(&mut balancer, 4, 0, 3_000);
@@ -58,8 +58,8 @@
     })
 }
 
-/// Clerks lose their filings because the operator switches a hall off that still got work. It had been
-/// evacuated, and the balancers there placed by load alone.
+/// Guards against requests that are lost when the operator switches off an evacuated failure
+/// domain: its balancers placed flows by load alone, so that its servers still got new ones.
 #[test]
 fn an_evacuated_domain_gets_no_new_flow() {
     let mut balancer = balancer_of_two();
@@ -88,8 +88,8 @@
     assert_eq!(forwarded(&carried), Some(agent));
 }
 
-/// The copy of an opening that an evacuated server has already accepted goes there: sent elsewhere,
-/// two servers would hold the flow.
+/// Guards against two servers that hold one flow: a copy of an opening that a server in an
+/// evacuated failure domain has already accepted must not go to another server.
 #[test]
 fn a_copy_goes_where_its_first_was_accepted() {
     let mut balancer = balancer_of_two();
@@ -101,8 +101,8 @@
     assert_eq!(copy, first);
 }
 
-/// All servers of a service are in evacuated failure domains: clients are told at once, and the log
-/// says why.
+/// Guards against clients that wait for a time-out when all servers of a service are in evacuated
+/// failure domains. The balancer resets the opening at once, and logs the cause.
 #[test]
 fn a_service_without_a_domain_left_is_refused_at_once() {
     let mut balancer = balancer_of_two();
@@ -122,8 +122,8 @@
     assert!(forwarded(&balancer.handle(at(3_020), open(1))).is_some());
 }
 
-/// Work comes back to an evacuated hall after its balancers were killed: a new one has the
-/// configuration from another balancer and has not heard of the orders.
+/// Guards against new flows in an evacuated failure domain after its balancers were killed: a new
+/// balancer gets the configuration from another balancer before it has received the orders.
 #[test]
 fn a_balancer_that_has_heard_of_no_orders_places_nothing() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
@@ -168,7 +168,8 @@
     assert!(!tells(&near, 6), "{near:?}");
 }
 
-/// An agent is told of new orders with its next announcement, not only with the next sign of life.
+/// An agent receives new orders in answer to its next announcement, not only with the balancer's
+/// next regular message.
 #[test]
 fn agents_are_told_of_new_orders_with_their_next_word() {
     let mut balancer = balancer(&[1]);
@@ -201,8 +202,8 @@
     actions.iter().any(|action| matches!(action, agent::Action::ToServer(_)))
 }
 
-/// A balancer stood still while a hall was evacuated, wakes up and goes on sending work there. The
-/// agent, the last hop, refuses and teaches it.
+/// Guards against a balancer that was paused during an evacuation and then still sends openings to
+/// the evacuated domain. The agent, as the last hop, declines them and sends it the newer orders.
 #[test]
 fn an_agent_refuses_what_an_older_view_sends_and_teaches_its_sender() {
     let mut agent = serving();
@@ -235,7 +236,7 @@
     assert_eq!(forwarded(&next), Some(host(4)));
 }
 
-/// A hall is taken back, and its servers serve with the first opening of a balancer that knows it.
+/// A failure domain that is taken back serves from the first opening of a balancer that knows it.
 #[test]
 fn an_agent_takes_what_a_newer_view_sends() {
     let mut agent = serving();
@@ -246,7 +247,7 @@
     let older = agent.handle(at(30), offered(2, 4));
 
     assert!(takes(&newer), "{newer:?}");
-    // The domain is not evacuated any more, whoever sends.
+    // The domain is no longer evacuated, so openings by older orders are accepted too.
     assert!(takes(&older), "{older:?}");
 }
 
@@ -261,16 +262,17 @@
     assert!(takes(&copy), "{copy:?}");
 }
 
-/// A hall gets work again that nobody took back: the first of two copies is lost, a balancer that knows of
-/// the evacuation sends the second one where it had sent the first, and the agent takes that for word that
-/// its domain is open. From then on it takes whatever a balancer sends that has just woken up.
+/// Guards against a copy of an opening that reopens an evacuated domain. The first copy is lost,
+/// and a balancer that knows the evacuation sends the second one to the same agent. If the agent
+/// took this as a sign that the domain is open, it would accept openings by older orders from then
+/// on.
 #[test]
 fn a_copy_does_not_open_an_evacuated_domain() {
     let mut balancer = balancer_of_two();
     let mut agent = serving();
     agent.handle(at(3_005), agent::Event::Roster(host(9), word_with(orders(5, &[DOMAIN]))));
     balancer.handle(at(3_000), open(1));
-    // Read anew: the same orders at a later revision.
+    // A new snapshot has the same orders at a later revision.
     balancer.handle(at(3_010), Event::Ordered(orders(7, &[DOMAIN, FAR])));
     let head = opening(flow(1), 1);
     let copy = balancer.handle(at(3_200), Event::Client(head));
@@ -287,7 +289,7 @@
     assert!(!takes(&stale), "{stale:?}");
 }
 
-/// Of the same revision there is one state only: an offer cannot say that the domain is open.
+/// There is only one state per revision, so an offer of the same revision cannot reopen the domain.
 #[test]
 fn an_offer_of_the_same_revision_opens_nothing() {
     let mut agent = serving();
@@ -308,20 +310,20 @@
     let seen = feed.orders().clone();
 
     feed.apply_snapshot(at(0), revision(20), orders(0, &[DOMAIN]).domains);
-    // Told again from before the read.
+    // A change from before the snapshot is delivered again.
     feed.apply_change(revision(12), FAR.into(), true);
 
     assert_eq!(seen, orders(12, &[DOMAIN, FAR]));
     assert_eq!(*feed.orders(), orders(20, &[DOMAIN]));
 }
 
-/// A revision after the store came back from an older copy once.
+/// Returns a revision of a store that was restored from an older copy once.
 fn later(number: u64) -> Revision {
     Revision { era: Era(1), number }
 }
 
-/// Guards against orders that are ignored for as long as the store has not counted past where it was when it came
-/// back from an older copy.
+/// Guards against ignoring new orders after the store was restored from an older copy, until its
+/// revisions have passed the highest one from before.
 #[test]
 fn orders_of_a_later_era_replace_all_earlier_ones() {
     let mut ledger = Latest::default();
@@ -335,8 +337,8 @@
     assert_eq!(ledger.revision(), later(450));
 }
 
-/// Guards against new flows in an evacuated failure domain between the store's return from a copy that lacks the
-/// order and the moment when the operator has written it again.
+/// Guards against new flows in an evacuated failure domain after the store was restored from a copy
+/// that lacks the order, until the operator has rewritten it.
 #[test]
 fn an_order_that_the_copy_lacks_holds_until_it_is_written_again() {
     let mut feed = Follower::default();
@@ -352,7 +354,8 @@
     assert!(!feed.retains_earlier_era());
 }
 
-/// Guards against an order that stays in force for good because its end was lost with the store's newest changes.
+/// Guards against an order that stays in force forever because its end was lost with the store's
+/// latest changes.
 #[test]
 fn an_order_that_nobody_writes_again_ends() {
     let mut feed = Follower::default();
@@ -367,7 +370,8 @@
     assert!(feed.orders().domains.is_empty(), "{:?}", feed.orders());
 }
 
-/// A delegate that has not read the store since its return must not take back what others hold.
+/// Guards against a delegate that drops orders which others retain, because it learned of the
+/// restored store from another process before it read the store itself.
 #[test]
 fn a_feed_that_heard_of_the_return_from_others_holds_on_too() {
     let mut feed = Follower::default();
@@ -379,7 +383,8 @@
     assert_eq!(feed.orders().domains, orders(0, &[FAR]).domains);
 }
 
-/// A delegate that started after the return knows only what the copy held; its word ends no order that others hold.
+/// Guards against a delegate that started after the store was restored and knows only the orders in
+/// the copy: its orders must not end those that others retain.
 #[test]
 fn a_feed_that_hears_of_fewer_orders_after_the_return_holds_its_own() {
     let mut feed = Follower::default();
@@ -393,7 +398,8 @@
     assert!(feed.orders().domains.is_empty());
 }
 
-/// What the operator did, one step at each revision: which domain, and whether it was evacuated.
+/// Returns the orders after each of the operator's steps, one revision per step. A step is a
+/// failure domain and whether it is evacuated.
 fn history(steps: &[(u8, bool)]) -> Vec<Orders> {
     let mut feed = Follower::default();
     let mut states = vec![feed.orders().clone()];
@@ -405,8 +411,9 @@
 }
 
 quickcheck! {
-    /// Words arrive in any order, some more than once, and the process starts again in between: it never
-    /// goes back behind a word that it has heard since its start, and holds the last of them at the end.
+    /// Orders arrive in any sequence, some repeatedly, and the process restarts in between. It
+    /// never goes back to a revision below one received since its start, and has the highest one at
+    /// the end.
     fn an_older_order_never_wins(steps: Vec<(u8, bool)>, heard: Vec<usize>, restart: usize) -> TestResult {
         if steps.is_empty() || heard.is_empty() {
             return TestResult::discard();
@@ -431,8 +438,8 @@
         TestResult::passed()
     }
 
-    /// The store comes back from older copies again and again, and words of all eras arrive in any order: the
-    /// last state of the last era wins.
+    /// The store is restored from older copies repeatedly, and orders of all eras arrive in any
+    /// sequence. The last state of the last era is in force.
     fn the_last_era_wins(heard: Vec<(u8, u8)>) -> bool {
         let mut ledger = Latest::default();
         let heard = heard.iter().map(|(era, number)| Revision {
@@ -446,9 +453,9 @@
         ledger.revision() == heard.into_iter().max().unwrap_or(Revision::ZERO)
     }
 
-    /// Every process knows of an evacuation; then any of them starts again, hears old words, is offered
-    /// openings by balancers that know or do not. As long as the balancer that sends has not placed by a
-    /// later state in which the domain was taken back, the agent hands none to its server.
+    /// An agent that knows an evacuation receives older orders, and openings placed by older
+    /// orders. It forwards none of them to its server, unless the balancer placed it by later
+    /// orders that took the domain back.
     fn no_opening_reaches_a_server_after_its_agent_knew(old: Vec<u8>) -> bool {
         let mut agent = serving();
         agent.handle(at(1), agent::Event::Roster(host(9), word_with(orders(300, &[DOMAIN]))));
--- a/crates/nutmegkeel_core/tests/l4/fixture.rs
+++ b/crates/nutmegkeel_core/tests/l4/fixture.rs
@@ -1,4 +1,4 @@
-//! What the tests are made of.
+//! Constants, packets, messages and processes that the tests share.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -49,13 +49,13 @@
     Head { flow, flags, seq: 1_000, ack: copies, len: 0, tag: 0 }
 }
 
-/// The server's answer to an opening.
+/// Returns the server's answer to an opening.
 pub(crate) fn accepted(flow: Flow, seq: u32) -> Head {
     let flags = Flags { syn: true, ack: true, ..Flags::default() };
     Head { flow, flags, seq, ack: 1_001, len: 0, tag: 0 }
 }
 
-/// A client's packet with data that acknowledges `ack`.
+/// Returns a client's packet with data that acknowledges `ack`.
 pub(crate) fn data(flow: Flow, seq: u32, ack: u32) -> Head {
     let flags = Flags { ack: true, ..Flags::default() };
     Head { flow, flags, seq, ack, len: 100, tag: 0 }
@@ -101,17 +101,17 @@
     }
 }
 
-/// A revision of a store that has never come back from a copy.
+/// Returns a revision of a store that was never restored from a copy.
 pub(crate) const fn revision(number: u64) -> Revision {
     Revision::first_era(number)
 }
 
-/// A load without a known time of service.
+/// Returns a load without a known service time.
 pub(crate) const fn load(busy: u16, flows: u16) -> Load {
     Load { busy, flows, service_ms: 0 }
 }
 
-/// A balancer's word about itself, with the addresses of these balancers.
+/// Returns a balancer's report of its own state, with the addresses of these balancers.
 pub(crate) fn gossip(version: u64, balancers: &[Ipv4Addr], agents: u32) -> Roster {
     Roster {
         version,
@@ -126,7 +126,8 @@
     }
 }
 
-/// Lets every agent announce itself each 300 ms, from `from_ms` to `until_ms`.
+/// Delivers an announcement of every agent to the balancer each 300 ms, from `from_ms` to
+/// `until_ms`.
 pub(crate) fn announce(balancer: &mut Balancer, agents: &[u8], from_ms: u64, until_ms: u64) {
     for millis in (from_ms..=until_ms).step_by(300) {
         for agent in agents {
@@ -136,18 +137,19 @@
     }
 }
 
-/// A balancer at this address, in the only failure domain.
+/// Returns the identity of a balancer at this address, in [`DOMAIN`].
 pub(crate) fn identity(address: Ipv4Addr, policy: Policy) -> balancer::Identity {
     balancer::Identity { address, domain: DOMAIN.into(), regions: BTreeMap::new(), policy }
 }
 
-/// What a flow to the desk needs that may go anywhere.
+/// Returns the placement need of a flow to the default service, without a limit to regions.
 pub(crate) fn need(key: Key, kind: Kind, tried: &[Ipv4Addr]) -> Need<'_> {
     static ANYWHERE: BTreeSet<Arc<str>> = BTreeSet::new();
     Need { key, service: default_service(), kind, regions: &ANYWHERE, domain: DOMAIN, tried }
 }
 
-/// A balancer with a route to the desk and these agents, all known for three seconds at `at(3_000)`.
+/// Returns a balancer with a route to the default service and these agents, all of which it has
+/// known for three seconds at `at(3_000)`.
 pub(crate) fn balancer(agents: &[u8]) -> Balancer {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     balancer.handle(at(0), Event::Ordered(Orders::default()));
@@ -156,7 +158,7 @@
     balancer
 }
 
-/// Where the actions send the packet at hand.
+/// Returns the agent to which the actions forward the current packet.
 pub(crate) fn forwarded(actions: &[Action]) -> Option<Ipv4Addr> {
     actions.iter().find_map(|action| match action {
         Action::Forward(agent, _) => Some(*agent),
@@ -173,23 +175,23 @@
     Heartbeat { incarnation, service, slots: 4, draining: false, warmup_ms: 0, seq }
 }
 
-/// A start of a server that does not say when it started.
+/// Returns an incarnation of a server that does not report its start time.
 pub(crate) fn incarnation(id: &str) -> Incarnation {
     Incarnation { id: id.into(), started_ms: None }
 }
 
-/// A heartbeat of a server that started at `started_ms`.
+/// Returns a heartbeat of a server that started at `started_ms`.
 pub(crate) fn heartbeat_started_at(id: &str, started_ms: u64, seq: u64) -> Heartbeat {
     let incarnation = Incarnation { id: id.into(), started_ms: Some(started_ms) };
     Heartbeat { incarnation, ..heartbeat(id, seq) }
 }
 
-/// Requests that may run again, or must run once.
+/// Returns the demand of requests that must run at most once, or that may run again.
 pub(crate) const fn demand(once: bool) -> Demand {
     Demand { objective_ms: 250, deadline_ms: 2_500, once, urgency: Urgency::DEFAULT }
 }
 
-/// An offer of the desk's, by a balancer that knows of no order.
+/// Returns an offer for the default service, by a balancer that knows no evacuation orders.
 pub(crate) fn offer(demand: Demand) -> Offer {
     let (service, insistence) = (default_service(), Insistence::IfInTime);
     Offer {
@@ -203,7 +205,7 @@
     }
 }
 
-/// Lets an agent take a flow that its server accepts with the number 500.
+/// Opens a flow at an agent; its server accepts it with the sequence number 500.
 pub(crate) fn open_flow(agent: &mut Agent, now: u64, flow: Flow, demand: Demand) {
     let (from, head) = (BALANCER, opening(flow, 0));
     let event = agent::Event::Open { from, head, offer: offer(demand) };
@@ -211,18 +213,18 @@
     agent.handle(at(now + 1), agent::Event::FromServer(accepted(flow, 500)));
 }
 
-/// Lets a client send data on a flow that was opened so.
+/// Delivers client data on a flow that was opened with [`open_flow`].
 pub(crate) fn send_data(agent: &mut Agent, now: u64, flow: Flow, seq: u32) {
     let head = data(flow, seq, 501);
     agent.handle(at(now), agent::Event::Carry { from: BALANCER, head, known: true });
 }
 
-/// An agent that knows one balancer and nothing of its backend server.
+/// Returns an agent that knows one balancer and has no heartbeat of its backend server.
 pub(crate) fn agent() -> Agent {
     agent_with(Policy::default())
 }
 
-/// Such an agent with these mechanisms.
+/// Returns such an agent with a policy.
 pub(crate) fn agent_with(policy: Policy) -> Agent {
     let identity = Identity {
         address: host(1),
--- a/crates/nutmegkeel_core/tests/l4/main.rs
+++ b/crates/nutmegkeel_core/tests/l4/main.rs
@@ -1,4 +1,4 @@
-//! Flows without a routing token: the decisions of balancers and agents.
+//! Tests of the decisions of balancers and agents for flows without a routing token.
 
 mod agent;
 mod backend;
--- a/crates/nutmegkeel_core/tests/l4/policy.rs
+++ b/crates/nutmegkeel_core/tests/l4/policy.rs
@@ -21,8 +21,8 @@
     assert_eq!(policy.switched_off(), ["relay"]);
 }
 
-/// A deployment that says nothing of contention or hidden faults is served as before, and each of the two
-/// brings its own mechanisms only.
+/// A deployment that declares no condition uses the unconditional mechanisms only, and each
+/// condition adds its own mechanisms only.
 #[test]
 fn a_mechanism_is_used_only_where_the_deployment_calls_for_it() {
     for mechanism in Mechanism::ALL {
@@ -35,7 +35,8 @@
     assert!(unused(&Policy::default()).into_iter().all(|one| one.needs().is_some()));
 }
 
-/// An operator suspects a mechanism that the deployment calls for: the switch must win.
+/// An operator must be able to switch off a mechanism even if the deployment declares its
+/// condition.
 #[test]
 fn what_is_switched_off_is_not_used_though_it_is_called_for() {
     let policy = Policy::without([Mechanism::Room]).under(CONDITIONS);
--- a/crates/nutmegkeel_core/tests/l4/share.rs
+++ b/crates/nutmegkeel_core/tests/l4/share.rs
@@ -1,4 +1,4 @@
-//! Room is shared between callers, and between the failure domains that they come from.
+//! Tests of how room is shared between callers, and between their failure domains.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -67,7 +67,7 @@
     assert_eq!(shares.standing(caller(99)), Standing::Light, "an unknown caller");
 }
 
-/// A caller whose single request was answered comes again, and would be put behind for it.
+/// Guards against ranking a caller behind others because its only request was answered before.
 #[test]
 fn one_request_is_no_more_than_a_share() {
     let mut shares = Shares::default();
@@ -79,7 +79,7 @@
     assert!((0..500).all(|number| shares.standing(caller(number)) != Standing::Beyond));
 }
 
-/// Two failure domains with as many callers each, and the slots served one of them by chance.
+/// Two failure domains have the same number of callers, and one of them was served more.
 #[test]
 fn a_domain_whose_callers_received_more_goes_behind() {
     let mut shares = Shares::default();
@@ -103,8 +103,8 @@
     assert!(put_behind + beyond >= 450 && of_other == 0, "{put_behind} {beyond} {of_other}");
 }
 
-/// A hundred thousand addresses come, one request each, and among them one that asks all the time: memory
-/// must not grow with them, and the heavy one must be known.
+/// Guards against memory that grows with the number of addresses: 100,000 callers send one request
+/// each. One more caller sends requests all the time, and must stay tracked.
 #[test]
 fn memory_is_bounded_and_the_heavy_caller_is_kept() {
     let mut shares = Shares::default();
@@ -131,8 +131,9 @@
     assert_eq!(shares.standing(caller(0)), Standing::Light);
 }
 
-/// One caller asks for ten times of what all others together do; they have done as always and pay for
-/// it, since the slots go to whoever comes first.
+/// Guards against a caller with ten times the demand of all others together. First come, first
+/// served would give it most slots, and the others would be late although their demand did not
+/// change.
 #[test]
 fn one_caller_with_ten_times_the_demand_costs_the_others_nothing() {
     let others = source("osu", 200, 0.5);
@@ -152,11 +153,11 @@
         [&alone, &shared, &unshared].map(|replay| replay.in_time(0, 0, 20_000));
     println!("others in time: {alone:.3} alone, {shared:.3} with shares, {unshared:.3} without");
     assert!(shared >= alone - 0.02, "{shared} {alone}");
-    assert!(unshared < 0.6, "the load must be one that hurts: {unshared}");
+    assert!(unshared < 0.6, "the load must delay the others without shares: {unshared}");
 }
 
-/// Sixty callers of one failure domain ask for more than the other domains together, and then for 2.5 times
-/// as much. Those of the other domains must hardly notice.
+/// Guards against heavy callers of one failure domain that delay the others: 60 callers request
+/// more than the other domains together, and then 2.5 times as much.
 #[test]
 fn heavy_callers_of_one_domain_cost_the_others_nothing() {
     let heavy = source("osu", 60, 0.45);
@@ -175,8 +176,8 @@
     assert!(sum.iter().all(|sum| sum / 8.0 >= 0.98), "{sum:?}");
 }
 
-/// All callers ask alike for more than there is: by chance some have had one answer more. That must not cost
-/// answers in time.
+/// Guards against shares that cost answers in time when all callers have the same demand, and some
+/// were served one request more by chance.
 #[test]
 fn shares_cost_nothing_where_all_callers_are_alike() {
     let sources = [source("osu", 400, 0.6), source("ota", 400, 0.6)];
@@ -199,8 +200,8 @@
     assert!(lost <= 0.01, "{lost}");
 }
 
-/// The agent restarts in the middle of it: it knows nobody, everybody is within the share, and the next
-/// seconds are no worse than without shares; after them all is as before.
+/// Guards against lasting harm from a restart of the agent during an overload. The new process
+/// tracks no callers, so all are within their share; it must recover after the next second.
 #[test]
 fn a_restart_forgets_the_shares_and_does_no_harm() {
     let sources = [source("osu", 200, 0.5), source("osu", 1, 5.0)];
@@ -218,8 +219,8 @@
     assert!(in_time[0] >= 0.85 && in_time[1] >= 0.97, "{in_time:?}");
 }
 
-/// Random demand of random callers: among requests of one urgency and timeliness none of a caller beyond
-/// its share goes while one within it waits.
+/// For random demand, a request of a caller beyond its share never goes before one of a caller
+/// within its share that has the same urgency and timeliness.
 #[test]
 fn within_a_class_the_share_decides() {
     for seed in 0..100 {
--- a/crates/nutmegkeel_core/tests/l4/urgency.rs
+++ b/crates/nutmegkeel_core/tests/l4/urgency.rs
@@ -1,4 +1,4 @@
-//! What waits goes by urgency, and what cannot be served is refused at once.
+//! Tests of the order by urgency, and of the refusal of unservable requests.
 
 use nutmegkeel_core::l4::flow::Flow;
 use nutmegkeel_core::l4::message::Demand;
@@ -58,8 +58,8 @@
     assert_eq!(order(&[usual, newer, older], 1_000), [2, 1, 0]);
 }
 
-/// A filing has waited until its client is about to give up. Status reads that can still be in time go
-/// before it one after the other, until its time is over.
+/// Guards against an urgent request that expires just before its deadline because less urgent
+/// requests that can still be in time go before it, one after the other.
 #[test]
 fn an_urgent_request_does_not_lose_its_last_chance_to_less_urgent_ones() {
     let last = waiting(1, 0, 1);
@@ -69,8 +69,8 @@
     assert_eq!(order(&[last, fresh, urgent], 3_900), [2, 0, 1]);
 }
 
-/// Classes share a server that has room for two thirds of them. The most urgent must not notice; the
-/// least urgent give way, and still something of each is answered in each second.
+/// Classes of different urgency share a server that can serve two thirds of their load. The most
+/// urgent class is answered in time; less urgent ones yield, but none is left without answers.
 #[test]
 fn less_urgent_classes_give_way_and_do_not_starve() {
     for classes in [2_u8, 3, 8] {
@@ -94,8 +94,8 @@
     }
 }
 
-/// The most urgent class alone asks for twice of what the slots bear. Without a floor nobody else is
-/// served for as long as that lasts.
+/// Guards against a less urgent class that is never served while the most urgent class alone
+/// requests twice as much as the slots can serve.
 #[test]
 fn a_floor_is_left_while_a_more_urgent_class_alone_fills_the_slots() {
     let sources = [class(0, 2.0, 10_000), class(4, 0.5, 10_000)];
@@ -110,10 +110,9 @@
     assert!(f64::from(u32::try_from(served).expect("few")) >= 0.9 * floor, "{served}");
 }
 
-/// More comes than can be served for 8 s: 1.4 times of what the slots bear. Once some are late the slots
-/// work on late ones, and nobody is in time any more though most could be. The slots must go on with
-/// those who can be in time, and tell the others while they can still turn elsewhere; a second after the
-/// crowd all are in time.
+/// Guards against an overload in which the slots work on late requests only, and none is in time
+/// although most could be. The load is 1.4 times the capacity for 8 s. Requests that cannot be
+/// served are refused before their deadline, and one second after the overload all are in time.
 #[test]
 fn a_lasting_overload_keeps_the_slots_at_what_is_in_time() {
     let sources = [class(4, 0.7, 14_000), Source { from_ms: 2_000, ..class(4, 0.7, 10_000) }];
@@ -130,11 +129,11 @@
     let after = replay.in_time(0, 11_000, 14_000);
     assert!(after >= 0.995, "{after}");
     let expired = [0, 1].map(|source| replay.count(source, 0, 14_000, End::Expired));
-    assert_eq!(expired, [0, 0], "nobody waits until the deadline");
+    assert_eq!(expired, [0, 0], "no request waits until its deadline");
 }
 
-/// Refusals at a crowd make it worse: those who could be served a second later come back at once, or
-/// give up.
+/// Guards against refusals in a short overload: the clients could be served a second later, but
+/// would retry at once and add load, or fail.
 #[test]
 fn a_crowd_of_two_seconds_turns_nobody_away() {
     let sources = [class(4, 0.5, 9_000), Source { from_ms: 1_000, ..class(4, 0.9, 3_000) }];
@@ -147,8 +146,8 @@
     assert_eq!((ends, of_crowd), ([0, 0], [0, 0]));
 }
 
-/// An answer is known to come too late even if all slots go on with what is ahead, and still the client
-/// is left to wait for seconds.
+/// Guards against clients that wait for seconds although it is known that the answer would miss the
+/// deadline even if all slots worked on the requests ahead.
 #[test]
 fn what_cannot_be_served_by_all_slots_is_refused_at_once() {
     let mut queue = Queue::open(&by_urgency());
@@ -165,7 +164,7 @@
     assert_eq!(refused.len() + queue.len(), 300);
 }
 
-/// A reset would break a flow that the server holds.
+/// Guards against a reset of a flow that the server holds.
 #[test]
 fn what_may_not_be_refused_stays() {
     let mut queue = Queue::open(&by_urgency());
@@ -176,8 +175,8 @@
     assert_eq!((refused.len(), queue.len()), (0, 300));
 }
 
-/// Random queues: no request goes while a more urgent one of the same timeliness waits, but for the
-/// floor, which takes one in ten at most.
+/// For random queues, no request goes while a more urgent one of the same timeliness waits, except
+/// those from the floor, which are at most one in ten.
 #[test]
 fn urgency_decides_among_what_is_equally_timely() {
     for seed in 0..200 {
@@ -214,7 +213,8 @@
     }
 }
 
-/// Without urgency all are alike, and a deployment that does not name contention has neither.
+/// Without the urgency mechanism, all requests are equally urgent. A deployment that does not
+/// declare contention uses neither urgency nor shares.
 #[test]
 fn urgency_counts_only_where_it_is_asked_for() {
     let requests = [waiting(1, 900, 4), waiting(2, 910, 0)];
--- a/crates/nutmegkeel_core/tests/l4/waiting.rs
+++ b/crates/nutmegkeel_core/tests/l4/waiting.rs
@@ -4,12 +4,12 @@
 
 use crate::fixture::{at, data, demand, flow};
 
-/// Time within which answers are of use, in milliseconds.
+/// Deadline of the requests, in milliseconds.
 const LIMIT_MS: u64 = 2_500;
 
 const DEMAND: Demand = demand(false);
 
-/// Time that an answer takes, in milliseconds.
+/// Time of an answer, in milliseconds.
 const ANSWER_MS: u64 = 90;
 
 fn waiting(port: u16, since_ms: u64) -> Waiting {
@@ -36,8 +36,8 @@
     assert_eq!(next(&mut queue, 50), Some(1));
 }
 
-/// After a loss of power every answer is late, though the servers could answer most clients in time:
-/// each slot goes to whoever has waited longest, and has no time left.
+/// Guards against a backlog in which every answer is late although the servers could answer most
+/// clients in time: each slot would go to the request that has waited longest and is late already.
 #[test]
 fn after_a_long_wait_the_newest_goes_first() {
     let mut queue = Queue::open(&Policy::default());
@@ -85,9 +85,9 @@
     assert_eq!((early.len(), late.len()), (0, 1));
 }
 
-/// Twice as much comes as can be served, and goes on to. Half of the clients wait for seconds for
-/// nothing. Once it is clear that this is no burst, all are told at once but those whom the slots can
-/// serve within 100 ms.
+/// Guards against clients that wait for seconds without an answer because twice as many requests
+/// arrive as can be served. After the length of a burst, all requests are refused at once except
+/// those that the slots can serve within 100 ms.
 #[test]
 fn a_lasting_overload_turns_the_hopeless_away() {
     let mut queue = Queue::open(&Policy::default());
@@ -101,15 +101,15 @@
     }
 
     let during_burst: usize = refused[..40].iter().map(|(_, count)| count).sum();
-    assert_eq!(during_burst, 0, "nobody is turned away during a burst");
+    assert_eq!(during_burst, 0, "no request is refused during a burst");
     assert!(refused[45..].iter().all(|(_, count)| *count > 0), "{refused:?}");
     assert!(queue.len() <= 7, "{}", queue.len());
 }
 
-/// Replays the return of all clients after a loss of power: 300 openings at once, then 45 a second,
-/// at a server that takes 7 requests at a time for 90 ms each. An answer within 250 ms is in time.
-/// First come, first served answers none of the 90 that come later in time; this rule must answer
-/// nearly all of them.
+/// Guards against a burst that makes later requests late: 300 requests at once, then 45 a second,
+/// at a server with 7 slots and 90 ms per request, and an objective of 250 ms. First come, first
+/// served answers none of the 90 later requests in time; the queue must answer nearly all of them
+/// in time.
 #[test]
 fn a_burst_does_not_make_those_late_who_come_after_it() {
     let mut queue = Queue::open(&Policy::default());
@@ -136,8 +136,8 @@
     assert!(in_time >= 88, "{in_time} of {later} in time");
 }
 
-/// Clients are refused in a short burst because there was another one a minute ago: the queue had been
-/// empty in between, and the overload still counted as lasting.
+/// Guards against refusals in a short burst that follows another one by a minute: the overload
+/// would count as lasting although the queue was empty in between.
 #[test]
 fn an_empty_queue_ends_an_overload() {
     let mut queue = Queue::open(&Policy::default());
@@ -158,7 +158,8 @@
     queue.push(waiting(1, 0));
     queue.push(waiting(2, 100));
     queue.push(waiting(3, 800));
-    // Late if its answer takes as long as nearly every one does, and perhaps not.
+    // It is late if its answer takes as long as nearly every answer does, and in time if it takes
+    // less.
     queue.push(waiting(4, 780));
 
     let order: Vec<_> = (0..4).filter_map(|_| next(&mut queue, 1_000)).collect();
@@ -166,11 +167,10 @@
     assert_eq!(order, [3, 4, 1, 2]);
 }
 
-/// A clerk's status check that was cut off by a loss of power comes back first of all and is answered
-/// last: each slot that new requests leave goes to the newest of the late ones, and those who have
-/// waited longest reach their deadline in vain. Replays 30 such requests, the first with half a second
-/// left and each other one with 35 ms more, then 45 new ones a second, at a server that takes 7 at a time
-/// for 90 ms each and so leaves room for 32 a second.
+/// Guards against retried requests that reach their deadline because late requests go newest first.
+/// 30 retried requests, the first with 500 ms left and each further one with 35 ms more, are
+/// followed by 45 new ones a second, at a server with 7 slots and 90 ms per request: 32 a second
+/// remain.
 #[test]
 fn what_came_back_first_does_not_wait_for_the_whole_backlog() {
     let mut queue = Queue::open(&Policy::default());
@@ -195,6 +195,6 @@
         }
     }
 
-    assert_eq!(answered, 30, "all that came back are answered before their clients' deadlines");
+    assert_eq!(answered, 30, "all retried requests are answered before their deadlines");
     assert!(in_time >= 105, "{in_time} of 109 new ones in time");
 }
--- a/crates/nutmegkeel_core/tests/l4/warmup.rs
+++ b/crates/nutmegkeel_core/tests/l4/warmup.rs
@@ -1,4 +1,4 @@
-//! Cold servers: what they are given in any second, and where the rest goes.
+//! Tests of the rate limit of cold servers, and of where the remaining openings go.
 
 use std::collections::BTreeSet;
 
@@ -18,7 +18,7 @@
     table,
 };
 
-/// Most of the openings given in any span of a second, bounds included.
+/// Returns the maximum number of openings in any second, bounds included.
 fn most_in_a_second(given: &[u64]) -> usize {
     let within =
         |start: &u64| given.iter().filter(|at| (*start..=*start + 1_000).contains(*at)).count();
@@ -40,7 +40,7 @@
     })
 }
 
-/// An agent beside a server that is cold for two seconds.
+/// Returns an agent whose local server is cold for two seconds.
 fn cold_agent() -> Agent {
     let mut agent = agent();
     let beat = Heartbeat { warmup_ms: 2_000, ..heartbeat("a", 1) };
@@ -48,9 +48,9 @@
     agent
 }
 
-/// Servers that come back at full load are sent everything that is new, because they are empty, and
-/// answer late or not at all. In no second may one get more than it bears; what is too much is refused in
-/// the same moment, so that it can go elsewhere.
+/// Guards against servers that restart at full load, get all new flows because they are idle, and
+/// answer late or not at all. A server never gets more than its rate in a second, and further
+/// openings are declined at once, so that they can be placed elsewhere.
 #[test]
 fn a_cold_server_gets_its_rate_in_any_second_and_the_rest_is_refused_at_once() {
     for rate in [2, 20, 200] {
@@ -86,8 +86,8 @@
     assert!(all(&mut without, 0));
 }
 
-/// A hall is taken back after its servers were switched off and on. Their agents still believe the
-/// heartbeats from before, which call them warm.
+/// Guards against treating servers as warm after a failure domain is taken back. The servers were
+/// restarted during the evacuation, and the last heartbeat that the agent has is from before that.
 #[test]
 fn a_server_taken_back_is_cold_until_it_says_otherwise() {
     let mut agent = agent();
@@ -115,8 +115,8 @@
     assert!(warm);
 }
 
-/// A rate comes into force while balancers have different configurations: those that have the old one offer
-/// without a rate, and what was given before must still count.
+/// Guards against exceeding a new rate while balancers have different configurations. Those with
+/// the old one send offers without a rate, and earlier openings must still count.
 #[test]
 fn what_was_given_counts_while_balancers_disagree_on_the_rate() {
     let mut agent = cold_agent();
@@ -169,8 +169,8 @@
     assert_eq!(targets, [host(2); 3]);
 }
 
-/// All servers of a service are cold and have been given what they bear. The client is told that its
-/// request has not run, and does not wait until its opening times out.
+/// Guards against a client that waits until its opening times out when all servers of a service are
+/// cold and have reached their rate. A reset shows that its request has not run.
 #[test]
 fn what_no_cold_server_takes_is_refused_at_once() {
     let mut balancer = cold_balancer(&[(1, 0), (2, 0)]);
@@ -200,8 +200,8 @@
     assert!(actions.iter().any(is_told), "{actions:?}");
 }
 
-/// Records that may not leave a region are filed in another one: the route names where its requests may
-/// go, and the nearest server was taken all the same.
+/// Guards against placing a flow outside the regions of its route because the nearest server is
+/// there: data that must not leave a region would be stored in another one.
 #[test]
 fn a_route_with_regions_is_placed_in_them_only() {
     let regions = [(DOMAIN, "accra"), ("tema", "accra"), ("leeds", "shires")];
@@ -239,7 +239,7 @@
 }
 
 quickcheck! {
-    /// Openings come at any moments: in no second are more given than the rate.
+    /// For openings at random times, no second has more openings than the rate.
     fn no_second_holds_more_than_the_rate(pauses: Vec<u8>, rate: u8) -> bool {
         let rate = u32::from(rate % 40) + 1;
         let mut budget = Budget::default();
