--- a/crates/nutmegkeel_core/tests/l4/contended.rs
+++ b/crates/nutmegkeel_core/tests/l4/contended.rs
@@ -20,14 +20,14 @@
 
 /// Number of requests that the server works on at once, and number of those queued at the server.
 const SLOTS: usize = 3;
-const AHEAD: usize = 2;
+const QUEUED_AT_SERVER: usize = 2;
 
 /// Shortest and longest time for which a request occupies a slot, in milliseconds.
 const SHORTEST_MS: u64 = 35;
 const LONGEST_MS: u64 = 65;
 
 /// Number of requests that the slots can serve per second.
-pub(crate) const BEARS_PER_S: f64 = 60.0;
+pub(crate) const CAPACITY_PER_S: f64 = 60.0;
 
 /// Returns the policy of a deployment whose callers compete for room, without some mechanisms.
 pub(crate) fn contention(without: &[Mechanism]) -> Policy {
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ended {
     pub(crate) source: usize,
-    pub(crate) came_ms: u64,
+    pub(crate) arrived_ms: u64,
     pub(crate) end: End,
 }
 
@@ -104,10 +104,10 @@
         self.run_with(until_ms, |_, _| {});
     }
 
-    /// Runs the simulation, and calls `happen` at each millisecond.
-    pub(crate) fn run_with(&mut self, until_ms: u64, mut happen: impl FnMut(&mut Self, u64)) {
+    /// Runs the simulation, and calls `on_tick` at each millisecond.
+    pub(crate) fn run_with(&mut self, until_ms: u64, mut on_tick: impl FnMut(&mut Self, u64)) {
         for now in 0..until_ms {
-            happen(self, now);
+            on_tick(self, now);
             self.arrive(now);
             self.answer(now);
             self.give_up(now);
@@ -172,7 +172,7 @@
     }
 
     fn release(&mut self, now: u64) {
-        while self.busy.len() + self.at_server.len() < SLOTS + AHEAD
+        while self.busy.len() + self.at_server.len() < SLOTS + QUEUED_AT_SERVER
             && let Some((next, _, _)) =
                 self.queue.pop_ranked(at(now), &self.capacity(), &self.shares)
         {
@@ -185,8 +185,8 @@
 
     fn end(&mut self, waiting: &Waiting, end: End) {
         let source = usize::from(waiting.flow.client.ip().octets()[1]);
-        let came_ms = waiting.since.millis();
-        self.ended.push(Ended { source, came_ms, end });
+        let arrived_ms = waiting.since.millis();
+        self.ended.push(Ended { source, arrived_ms, end });
     }
 
     fn capacity(&self) -> Capacity {
@@ -201,8 +201,8 @@
     /// Returns how many requests of a source arrived in a time range and had this outcome.
     pub(crate) fn count(&self, source: usize, from_ms: u64, until_ms: u64, end: End) -> usize {
         let is_meant = |ended: &&Ended| {
-            let came = ended.came_ms;
-            ended.source == source && (from_ms..until_ms).contains(&came) && ended.end == end
+            let arrived_ms = ended.arrived_ms;
+            ended.source == source && (from_ms..until_ms).contains(&arrived_ms) && ended.end == end
         };
         self.ended.iter().filter(is_meant).count()
     }
@@ -211,12 +211,12 @@
     pub(crate) fn in_time(&self, source: usize, from_ms: u64, until_ms: u64) -> f64 {
         let ends = [End::InTime, End::Late, End::Refused, End::Expired];
         let counts = ends.map(|end| self.count(source, from_ms, until_ms, end));
-        part(counts[0], counts.iter().sum())
+        fraction(counts[0], counts.iter().sum())
     }
 }
 
 /// Returns `count` as a fraction of `all`.
-pub(crate) fn part(count: usize, all: usize) -> f64 {
+pub(crate) fn fraction(count: usize, all: usize) -> f64 {
     let number = |count: usize| f64::from(u32::try_from(count).expect("a short replay"));
     number(count) / number(all.max(1))
 }
--- a/crates/nutmegkeel_core/tests/l4/evacuated_fleet.rs
+++ b/crates/nutmegkeel_core/tests/l4/evacuated_fleet.rs
@@ -21,7 +21,7 @@
 const DOMAINS: [&str; 2] = ["osu", "tema"];
 
 /// Number of balancers, and of agents, in each failure domain.
-const EACH: u8 = 2;
+const PER_DOMAIN: u8 = 2;
 
 /// Interval between two ticks of the agents, in milliseconds.
 const STEP_MS: u64 = 100;
@@ -31,12 +31,12 @@
 }
 
 fn domain(number: u8) -> &'static str {
-    DOMAINS[usize::from(number / EACH)]
+    DOMAINS[usize::from(number / PER_DOMAIN)]
 }
 
 /// A message in flight, with the packet that it carries.
 #[derive(Clone)]
-struct Letter {
+struct Envelope {
     from: Ipv4Addr,
     to: Ipv4Addr,
     message: Message,
@@ -49,159 +49,159 @@
     agents: Vec<Agent>,
     /// Packets that each balancer keeps.
     kept: Vec<BTreeMap<Flow, Head>>,
-    letters: Vec<Letter>,
-    ports: u16,
+    in_flight: Vec<Envelope>,
+    last_port: u16,
     /// Number of new flows at servers in the evacuated failure domain, and in the other one.
-    given: [usize; 2],
+    opened: [usize; 2],
 }
 
 impl Fleet {
     fn open() -> Self {
-        let count = 2 * EACH;
+        let count = 2 * PER_DOMAIN;
         let mut fleet = Self {
             now: 0,
             balancers: (0..count).map(|number| new_balancer(0, number)).collect(),
             agents: (0..count).map(|number| new_agent(0, number)).collect(),
             kept: vec![BTreeMap::new(); usize::from(count)],
-            letters: Vec::new(),
-            ports: 0,
-            given: [0, 0],
+            in_flight: Vec::new(),
+            last_port: 0,
+            opened: [0, 0],
         };
         for number in 0..count {
-            fleet.beat(number);
-            fleet.balance(number, balancer::Event::Ordered(orders(4, &[])), None);
-            fleet.balance(number, configured(), None);
+            fleet.heartbeat_agent(number);
+            fleet.handle_at_balancer(number, balancer::Event::Ordered(orders(4, &[])), None);
+            fleet.handle_at_balancer(number, configured(), None);
         }
         fleet
     }
 
     /// Advances the time and delivers all messages in order, except those to a paused process.
-    fn settle(&mut self, millis: u64, asleep: Option<Ipv4Addr>) {
+    fn settle(&mut self, millis: u64, paused: Option<Ipv4Addr>) {
         for _ in 0..millis / STEP_MS {
-            self.pass();
-            while !self.letters.is_empty() {
-                let letter = self.letters.remove(0);
-                if Some(letter.to) != asleep {
-                    self.deliver(letter);
+            self.advance();
+            while !self.in_flight.is_empty() {
+                let envelope = self.in_flight.remove(0);
+                if Some(envelope.to) != paused {
+                    self.deliver(envelope);
                 }
             }
         }
     }
 
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         self.now += STEP_MS;
-        for number in 0..2 * EACH {
-            self.act(number, agent::Event::Tick, None);
+        for number in 0..2 * PER_DOMAIN {
+            self.handle_at_agent(number, agent::Event::Tick, None);
             if self.now.is_multiple_of(balancer::TICK_MS) {
-                self.balance(number, balancer::Event::Tick, None);
+                self.handle_at_balancer(number, balancer::Event::Tick, None);
             }
             if self.now.is_multiple_of(1_200) {
-                self.beat(number);
+                self.heartbeat_agent(number);
             }
         }
     }
 
     /// Runs one random step; processes restart only if `crashes` is set.
     fn step(&mut self, kind: u8, argument: u8, crashes: bool) {
-        let number = argument % (2 * EACH);
+        let number = argument % (2 * PER_DOMAIN);
         match kind % 9 {
-            0 => self.pass(),
+            0 => self.advance(),
             1 if crashes => {
                 self.balancers[usize::from(number)] = new_balancer(self.now, number);
                 self.kept[usize::from(number)].clear();
             }
             2 if crashes => {
                 self.agents[usize::from(number)] = new_agent(self.now, number);
-                self.beat(number);
+                self.heartbeat_agent(number);
             }
-            1..=3 => self.client(number),
+            1..=3 => self.open_flow(number),
             4 => {
-                self.take_letter(argument);
+                self.take_envelope(argument);
             }
             5 => {
-                let repeated = self.take_letter(argument);
-                self.letters.extend(repeated.clone());
-                repeated.into_iter().for_each(|letter| self.deliver(letter));
+                let repeated = self.take_envelope(argument);
+                self.in_flight.extend(repeated.clone());
+                repeated.into_iter().for_each(|envelope| self.deliver(envelope));
             }
             _ => {
-                let letter = self.take_letter(argument);
-                letter.into_iter().for_each(|letter| self.deliver(letter));
+                let envelope = self.take_envelope(argument);
+                envelope.into_iter().for_each(|envelope| self.deliver(envelope));
             }
         }
     }
 
-    fn take_letter(&mut self, argument: u8) -> Option<Letter> {
-        let place = usize::from(argument).checked_rem(self.letters.len())?;
-        Some(self.letters.remove(place))
+    fn take_envelope(&mut self, argument: u8) -> Option<Envelope> {
+        let index = usize::from(argument).checked_rem(self.in_flight.len())?;
+        Some(self.in_flight.remove(index))
     }
 
-    fn client(&mut self, number: u8) {
-        self.ports += 1;
-        let head = opening(flow(self.ports), 0);
-        self.balance(number, balancer::Event::Client(head), Some(head));
+    fn open_flow(&mut self, number: u8) {
+        self.last_port += 1;
+        let head = opening(flow(self.last_port), 0);
+        self.handle_at_balancer(number, balancer::Event::Client(head), Some(head));
     }
 
-    fn beat(&mut self, number: u8) {
+    fn heartbeat_agent(&mut self, number: u8) {
         let seq = self.now / 1_200 + 2;
-        self.act(number, agent::Event::Heartbeat(heartbeat("a", seq)), None);
+        self.handle_at_agent(number, agent::Event::Heartbeat(heartbeat("a", seq)), None);
     }
 
-    fn deliver(&mut self, letter: Letter) {
-        let Letter { from, to, message, head } = letter;
-        for number in 0..2 * EACH {
+    fn deliver(&mut self, envelope: Envelope) {
+        let Envelope { from, to, message, head } = envelope;
+        for number in 0..2 * PER_DOMAIN {
             if balancer_address(number) == to {
                 if let Some(event) = to_balancer(from, message.clone(), head) {
-                    self.balance(number, event, head);
+                    self.handle_at_balancer(number, event, head);
                 }
             } else if host(number) == to
                 && let Some(event) = to_agent(from, message.clone(), head)
             {
-                self.act(number, event, head);
+                self.handle_at_agent(number, event, head);
             }
         }
     }
 
-    fn balance(&mut self, number: u8, event: balancer::Event, head: Option<Head>) {
+    fn handle_at_balancer(&mut self, number: u8, event: balancer::Event, head: Option<Head>) {
         let from = balancer_address(number);
         for action in self.balancers[usize::from(number)].handle(at(self.now), event) {
             match action {
-                balancer::Action::Forward(to, message) => self.post(from, to, message, head),
-                balancer::Action::Send(to, message) => self.post(from, to, message, None),
+                balancer::Action::Forward(to, message) => self.send(from, to, message, head),
+                balancer::Action::Send(to, message) => self.send(from, to, message, None),
                 balancer::Action::Keep(head) => {
                     self.kept[usize::from(number)].insert(head.flow, head);
                 }
                 balancer::Action::Recall => {
                     for head in std::mem::take(&mut self.kept[usize::from(number)]).into_values() {
-                        self.balance(number, balancer::Event::Again(head), Some(head));
+                        self.handle_at_balancer(number, balancer::Event::Again(head), Some(head));
                     }
                 }
                 // The process that announced a newer configuration delivers it.
-                balancer::Action::Fetch(_) => self.balance(number, configured(), None),
+                balancer::Action::Fetch(_) => self.handle_at_balancer(number, configured(), None),
                 _ => {}
             }
         }
     }
 
-    fn act(&mut self, number: u8, event: agent::Event, head: Option<Head>) {
+    fn handle_at_agent(&mut self, number: u8, event: agent::Event, head: Option<Head>) {
         let from = host(number);
         let actions = self.agents[usize::from(number)].handle(at(self.now), event);
         for action in actions {
             match action {
                 agent::Action::ToServer(_) => {
                     let head = head.expect("a packet is at hand");
-                    self.given[usize::from(number / EACH)] += 1;
+                    self.opened[usize::from(number / PER_DOMAIN)] += 1;
                     let answer = accepted(head.flow, 500);
-                    self.act(number, agent::Event::FromServer(answer), Some(answer));
+                    self.handle_at_agent(number, agent::Event::FromServer(answer), Some(answer));
                 }
-                agent::Action::Return(to, message) => self.post(from, to, message, head),
-                agent::Action::Send(to, message) => self.post(from, to, message, None),
+                agent::Action::Return(to, message) => self.send(from, to, message, head),
+                agent::Action::Send(to, message) => self.send(from, to, message, None),
                 _ => {}
             }
         }
     }
 
-    fn post(&mut self, from: Ipv4Addr, to: Ipv4Addr, message: Message, head: Option<Head>) {
-        self.letters.push(Letter { from, to, message, head });
+    fn send(&mut self, from: Ipv4Addr, to: Ipv4Addr, message: Message, head: Option<Head>) {
+        self.in_flight.push(Envelope { from, to, message, head });
     }
 }
 
@@ -215,7 +215,7 @@
 }
 
 fn seeds() -> Vec<Ipv4Addr> {
-    (0..2 * EACH).map(balancer_address).collect()
+    (0..2 * PER_DOMAIN).map(balancer_address).collect()
 }
 
 fn new_balancer(now: u64, number: u8) -> Balancer {
@@ -267,67 +267,67 @@
 
 /// Returns a fleet in which every process, except a paused one, knows that the first failure domain
 /// is evacuated. Agents hold copies of the configuration.
-fn evacuated(asleep: Option<u8>) -> Fleet {
+fn evacuated_fleet(paused: Option<u8>) -> Fleet {
     let mut fleet = Fleet::open();
     fleet.settle(3_000, None);
-    for number in 0..2 * EACH {
-        fleet.act(number, agent::Event::Fetched(1), None);
-        (0..4).for_each(|_| fleet.client(number));
+    for number in 0..2 * PER_DOMAIN {
+        fleet.handle_at_agent(number, agent::Event::Fetched(1), None);
+        (0..4).for_each(|_| fleet.open_flow(number));
     }
     fleet.settle(500, None);
-    assert!(fleet.given.iter().all(|given| *given > 0), "{:?}", fleet.given);
-    fleet.balance(0, balancer::Event::Ordered(orders(5, &[DOMAINS[0]])), None);
-    fleet.settle(2_000, asleep.map(balancer_address));
+    assert!(fleet.opened.iter().all(|opened| *opened > 0), "{:?}", fleet.opened);
+    fleet.handle_at_balancer(0, balancer::Event::Ordered(orders(5, &[DOMAINS[0]])), None);
+    fleet.settle(2_000, paused.map(balancer_address));
     let knowing = fleet.balancers.iter().filter(|balancer| balancer.evacuated() == 1).count();
-    assert_eq!(knowing, fleet.balancers.len() - usize::from(asleep.is_some()));
-    fleet.given = [0, 0];
+    assert_eq!(knowing, fleet.balancers.len() - usize::from(paused.is_some()));
+    fleet.opened = [0, 0];
     fleet
 }
 
-fn ask(fleet: &mut Fleet) {
-    for number in 0..2 * EACH {
-        (0..4).for_each(|_| fleet.client(number));
+fn open_flows(fleet: &mut Fleet) {
+    for number in 0..2 * PER_DOMAIN {
+        (0..4).for_each(|_| fleet.open_flow(number));
     }
     fleet.settle(500, None);
 }
 
 #[test]
 fn a_domain_that_was_taken_back_serves_again() {
-    let mut fleet = evacuated(None);
-    ask(&mut fleet);
-    let during = fleet.given;
+    let mut fleet = evacuated_fleet(None);
+    open_flows(&mut fleet);
+    let during = fleet.opened;
 
-    fleet.balance(3, balancer::Event::Ordered(orders(6, &[])), None);
+    fleet.handle_at_balancer(3, balancer::Event::Ordered(orders(6, &[])), None);
     fleet.settle(2_000, None);
-    ask(&mut fleet);
+    open_flows(&mut fleet);
 
     assert_eq!(during[0], 0, "{during:?}");
     assert!(during[1] > 0, "{during:?}");
-    assert!(fleet.given[0] > 0, "{:?}", fleet.given);
+    assert!(fleet.opened[0] > 0, "{:?}", fleet.opened);
 }
 
 /// Returns whether no server of the evacuated domain gets a new flow during these steps, and after
 /// all messages in flight and all kept packets were delivered.
-fn holds(mut fleet: Fleet, steps: &[(u8, u8)], crashes: bool) -> bool {
-    let holds = steps.iter().all(|(kind, argument)| {
+fn stays_evacuated(mut fleet: Fleet, steps: &[(u8, u8)], crashes: bool) -> bool {
+    let stays_evacuated = steps.iter().all(|(kind, argument)| {
         fleet.step(*kind, *argument, crashes);
-        fleet.given[0] == 0
+        fleet.opened[0] == 0
     });
     fleet.settle(1_000, None);
-    holds && fleet.given[0] == 0
+    stays_evacuated && fleet.opened[0] == 0
 }
 
 quickcheck! {
     /// Guards against a restarted balancer that gets the configuration from an agent before it
     /// receives the orders, and places a flow at an agent that has restarted too and knows no
     /// orders.
-    fn crashes_open_no_evacuated_domain(steps: Vec<(u8, u8)>) -> bool {
-        holds(evacuated(None), &steps, true)
+    fn crashes_do_not_reopen_an_evacuated_domain(steps: Vec<(u8, u8)>) -> bool {
+        stays_evacuated(evacuated_fleet(None), &steps, true)
     }
 
     /// Guards against a paused balancer that missed the order and places flows by earlier ones:
     /// agents must decline them.
-    fn a_balancer_that_slept_opens_no_evacuated_domain(steps: Vec<(u8, u8)>) -> bool {
-        holds(evacuated(Some(1)), &steps, false)
+    fn a_paused_balancer_does_not_reopen_an_evacuated_domain(steps: Vec<(u8, u8)>) -> bool {
+        stays_evacuated(evacuated_fleet(Some(1)), &steps, false)
     }
 }
--- a/crates/nutmegkeel_core/tests/l4/policy.rs
+++ b/crates/nutmegkeel_core/tests/l4/policy.rs
@@ -7,14 +7,14 @@
 }
 
 #[test]
-fn each_mechanism_has_a_name_of_its_own_that_leads_back_to_it() {
+fn each_mechanism_name_parses_back_to_it() {
     for mechanism in Mechanism::ALL {
         assert_eq!(mechanism.name().parse(), Ok(mechanism));
     }
 }
 
 #[test]
-fn only_what_is_switched_off_is_not_used() {
+fn only_disabled_mechanisms_are_unused() {
     let policy = Policy::without([Mechanism::Relay]).under(CONDITIONS);
 
     assert_eq!(unused(&policy), [Mechanism::Relay]);
@@ -24,7 +24,7 @@
 /// A deployment that declares no condition uses the unconditional mechanisms only, and each
 /// condition adds its own mechanisms only.
 #[test]
-fn a_mechanism_is_used_only_where_the_deployment_calls_for_it() {
+fn a_conditional_mechanism_is_used_only_under_its_condition() {
     for mechanism in Mechanism::ALL {
         for condition in CONDITIONS {
             let uses = Policy::default().under([condition]).uses(mechanism);
@@ -38,7 +38,7 @@
 /// An operator must be able to switch off a mechanism even if the deployment declares its
 /// condition.
 #[test]
-fn what_is_switched_off_is_not_used_though_it_is_called_for() {
+fn a_disabled_mechanism_is_unused_even_under_its_condition() {
     let policy = Policy::without([Mechanism::Room]).under(CONDITIONS);
 
     assert!(!policy.uses(Mechanism::Room));
--- a/crates/nutmegkeel_core/tests/l4/share.rs
+++ b/crates/nutmegkeel_core/tests/l4/share.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::contended::{BEARS_PER_S, Replay, Source, contention, demand, request};
+use crate::contended::{CAPACITY_PER_S, Replay, Source, contention, demand, request};
 use crate::fixture::at;
 
 /// Work of one request, in microseconds.
@@ -25,27 +25,27 @@
     Arc::from(name)
 }
 
-fn ask(shares: &mut Shares, now: u64, number: u32, served: bool) {
+fn request_from(shares: &mut Shares, now: u64, number: u32, served: bool) {
     shares.record_request(at(now), caller(number), &domain("osu"), WORK_US);
     if served {
         shares.record_served(at(now), caller(number), WORK_US);
     }
 }
 
-fn by_shares() -> Policy {
+fn shares_only() -> Policy {
     contention(&[Mechanism::Urgency])
 }
 
 fn source(domain: &'static str, callers: u32, load: f64) -> Source {
-    let per_s = load * BEARS_PER_S;
+    let per_s = load * CAPACITY_PER_S;
     Source { urgency: 4, domain, callers, per_s, from_ms: 0, until_ms: 20_000 }
 }
 
 #[test]
-fn while_all_is_served_nobody_is_beyond_a_share() {
+fn no_caller_is_beyond_its_share_while_all_requests_are_served() {
     let mut shares = Shares::default();
     for now in 0..4_000 {
-        ask(&mut shares, now, u32::from(now % 10 == 0), true);
+        request_from(&mut shares, now, u32::from(now % 10 == 0), true);
     }
 
     assert_eq!(shares.share_us(), None);
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn who_has_had_most_is_beyond_the_share_when_room_is_short() {
+fn the_heaviest_caller_is_beyond_its_share_when_room_is_short() {
     let mut shares = Shares::default();
     for now in 0..4_000 {
-        ask(&mut shares, now, 0, now % 2 == 0);
+        request_from(&mut shares, now, 0, now % 2 == 0);
         if now % 10 == 0 {
-            ask(&mut shares, now, 1 + u32::try_from(now / 10 % 20).expect("few"), true);
+            request_from(&mut shares, now, 1 + u32::try_from(now / 10 % 20).expect("few"), true);
         }
     }
 
@@ -69,10 +69,10 @@
 
 /// Guards against ranking a caller behind others because its only request was answered before.
 #[test]
-fn one_request_is_no_more_than_a_share() {
+fn a_single_request_is_never_beyond_a_share() {
     let mut shares = Shares::default();
     for number in 0..500 {
-        ask(&mut shares, u64::from(number) * 4, number, number % 2 == 0);
+        request_from(&mut shares, u64::from(number) * 4, number, number % 2 == 0);
     }
 
     assert!(shares.share_us().is_some());
@@ -81,7 +81,7 @@
 
 /// Two failure domains have the same number of callers, and one of them was served more.
 #[test]
-fn a_domain_whose_callers_received_more_goes_behind() {
+fn callers_of_a_domain_that_was_served_more_rank_behind() {
     let mut shares = Shares::default();
     let mut rng = SmallRng::seed_from_u64(1);
     for now in 0..4_000_u64 {
@@ -96,11 +96,11 @@
     let standings = |callers: std::ops::Range<u32>, standing| {
         callers.filter(|number| shares.standing(caller(*number)) == standing).count()
     };
-    let put_behind = standings(0..500, Standing::DomainBeyond);
+    let ranked_behind = standings(0..500, Standing::DomainBeyond);
     let of_other = standings(500..1_000, Standing::DomainBeyond);
     let beyond = standings(0..500, Standing::Beyond);
-    println!("put behind for their domain: {put_behind} and {of_other} of 500");
-    assert!(put_behind + beyond >= 450 && of_other == 0, "{put_behind} {beyond} {of_other}");
+    println!("ranked behind for their domain: {ranked_behind} and {of_other} of 500");
+    assert!(ranked_behind + beyond >= 450 && of_other == 0, "{ranked_behind} {beyond} {of_other}");
 }
 
 /// Guards against memory that grows with the number of addresses: 100,000 callers send one request
@@ -110,9 +110,9 @@
     let mut shares = Shares::default();
     for number in 1..=100_000 {
         let now = u64::from(number);
-        ask(&mut shares, now, number, number % 3 == 0);
+        request_from(&mut shares, now, number, number % 3 == 0);
         if number % 10 == 0 {
-            ask(&mut shares, now, 0, true);
+            request_from(&mut shares, now, 0, true);
         }
         assert!(shares.callers() <= MAX_CALLERS);
     }
@@ -121,11 +121,11 @@
 }
 
 #[test]
-fn all_is_forgotten_after_a_while() {
+fn shares_are_reset_after_a_long_idle_time() {
     let mut shares = Shares::default();
-    (0..4_000).for_each(|now| ask(&mut shares, now, 0, now % 2 == 0));
+    (0..4_000).for_each(|now| request_from(&mut shares, now, 0, now % 2 == 0));
 
-    ask(&mut shares, 80_000, 1, true);
+    request_from(&mut shares, 80_000, 1, true);
 
     assert_eq!((shares.callers(), shares.share_us()), (1, None));
     assert_eq!(shares.standing(caller(0)), Standing::Light);
@@ -135,11 +135,11 @@
 /// served would give it most slots, and the others would be late although their demand did not
 /// change.
 #[test]
-fn one_caller_with_ten_times_the_demand_costs_the_others_nothing() {
+fn one_heavy_caller_does_not_slow_the_others() {
     let others = source("osu", 200, 0.5);
     let heavy = source("osu", 1, 5.0);
-    let mut alone = Replay::open(&by_shares(), std::slice::from_ref(&others));
-    let mut shared = Replay::open(&by_shares(), &[others.clone(), heavy.clone()]);
+    let mut alone = Replay::open(&shares_only(), std::slice::from_ref(&others));
+    let mut shared = Replay::open(&shares_only(), &[others.clone(), heavy.clone()]);
     let neither = contention(&[Mechanism::Urgency, Mechanism::FairShares]);
     assert!(!Queue::open(&neither).is_contended());
     let urgency_only = contention(&[Mechanism::FairShares]);
@@ -159,14 +159,14 @@
 /// Guards against heavy callers of one failure domain that delay the others: 60 callers request
 /// more than the other domains together, and then 2.5 times as much.
 #[test]
-fn heavy_callers_of_one_domain_cost_the_others_nothing() {
+fn heavy_callers_of_one_domain_do_not_slow_other_domains() {
     let heavy = source("osu", 60, 0.45);
-    let crowd = Source { from_ms: 8_000, until_ms: 14_000, ..source("osu", 60, 0.68) };
+    let burst = Source { from_ms: 8_000, until_ms: 14_000, ..source("osu", 60, 0.68) };
     let light = [source("ota", 340, 0.13), source("kita", 432, 0.16)];
-    let sources = [light[0].clone(), light[1].clone(), heavy, crowd];
+    let sources = [light[0].clone(), light[1].clone(), heavy, burst];
     let mut sum = [0.0; 2];
     for seed in 0..8 {
-        let mut replay = Replay::seeded(&by_shares(), &sources, seed);
+        let mut replay = Replay::seeded(&shares_only(), &sources, seed);
         replay.run(18_000);
         let in_time = [0, 1].map(|source| replay.in_time(source, 8_000, 15_000));
         println!("seed {seed}: light domains in time: {in_time:.3?}");
@@ -179,7 +179,7 @@
 /// Guards against shares that cost answers in time when all callers have the same demand, and some
 /// were served one request more by chance.
 #[test]
-fn shares_cost_nothing_where_all_callers_are_alike() {
+fn shares_do_not_delay_equal_callers() {
     let sources = [source("osu", 400, 0.6), source("ota", 400, 0.6)];
     let urgency_only = contention(&[Mechanism::FairShares]);
     let by_domain = |policy: &Policy, seed: u64| {
@@ -191,7 +191,7 @@
 
     let mut lost = 0.0;
     for seed in 0..8 {
-        let (shared, unshared) = (by_domain(&by_shares(), seed), by_domain(&urgency_only, seed));
+        let (shared, unshared) = (by_domain(&shares_only(), seed), by_domain(&urgency_only, seed));
         println!("in time by domain: {shared:.3?} with shares, {unshared:.3?} without");
         assert!((shared[0] - shared[1]).abs() <= 0.03, "a domain is served worse: {shared:?}");
         lost += (mean(unshared) - mean(shared)) / 8.0;
@@ -203,9 +203,9 @@
 /// Guards against lasting harm from a restart of the agent during an overload. The new process
 /// tracks no callers, so all are within their share; it must recover after the next second.
 #[test]
-fn a_restart_forgets_the_shares_and_does_no_harm() {
+fn a_restart_without_shares_recovers_within_a_second() {
     let sources = [source("osu", 200, 0.5), source("osu", 1, 5.0)];
-    let mut replay = Replay::open(&by_shares(), &sources);
+    let mut replay = Replay::open(&shares_only(), &sources);
 
     replay.run_with(24_000, |replay, now| {
         if now == 10_000 {
@@ -222,10 +222,10 @@
 /// For random demand, a request of a caller beyond its share never goes before one of a caller
 /// within its share that has the same urgency and timeliness.
 #[test]
-fn within_a_class_the_share_decides() {
+fn within_a_class_callers_within_their_share_go_first() {
     for seed in 0..100 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let (mut shares, mut queue) = (Shares::default(), Queue::open(&by_shares()));
+        let (mut shares, mut queue) = (Shares::default(), Queue::open(&shares_only()));
         let mut mirror: Vec<Waiting> = Vec::new();
         for step in 0..400_u32 {
             let now = 10_000 + 10 * u64::from(step);
--- a/crates/nutmegkeel_core/tests/l4/urgency.rs
+++ b/crates/nutmegkeel_core/tests/l4/urgency.rs
@@ -9,18 +9,19 @@
 use rand::{Rng, SeedableRng};
 
 use crate::contended::{
-    BEARS_PER_S, DEADLINE_MS, End, Replay, Source, contention, demand, part, request, urgency,
+    CAPACITY_PER_S, DEADLINE_MS, End, Replay, Source, contention, demand, fraction, request,
+    urgency,
 };
 use crate::fixture::{at, flow};
 
 const IDLE: Capacity = Capacity { slots: 3, at_server: 0, mean_us: 50_000, most_us: 65_000 };
 
-fn by_urgency() -> Policy {
+fn urgency_only() -> Policy {
     contention(&[Mechanism::FairShares])
 }
 
 fn class(urgency: u8, load: f64, until_ms: u64) -> Source {
-    let per_s = load * BEARS_PER_S;
+    let per_s = load * CAPACITY_PER_S;
     Source { urgency, domain: "osu", callers: 100, per_s, from_ms: 0, until_ms }
 }
 
@@ -33,14 +34,14 @@
 }
 
 fn order(waiting: &[Waiting], now: u64) -> Vec<usize> {
-    let mut queue = Queue::open(&by_urgency());
+    let mut queue = Queue::open(&urgency_only());
     waiting.iter().for_each(|waiting| queue.push(waiting.clone()));
     let position = |flow| waiting.iter().position(|waiting| waiting.flow == flow);
     std::iter::from_fn(|| next(&mut queue, now)).filter_map(position).collect()
 }
 
 #[test]
-fn what_can_be_in_time_goes_first_and_the_more_urgent_of_it() {
+fn requests_that_can_be_in_time_go_first_by_urgency() {
     let late = waiting(1, 0, 0);
     let usual = waiting(2, 900, 4);
     let urgent = waiting(3, 950, 1);
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn of_what_is_late_the_more_urgent_goes_first_and_then_the_oldest() {
+fn late_requests_go_by_urgency_and_then_by_age() {
     let usual = waiting(1, 0, 4);
     let newer = waiting(2, 200, 1);
     let older = waiting(3, 100, 1);
@@ -72,12 +73,12 @@
 /// Classes of different urgency share a server that can serve two thirds of their load. The most
 /// urgent class is answered in time; less urgent ones yield, but none is left without answers.
 #[test]
-fn less_urgent_classes_give_way_and_do_not_starve() {
+fn less_urgent_classes_yield_and_do_not_starve() {
     for classes in [2_u8, 3, 8] {
         let load = 1.5 / f64::from(classes);
         let sources: Vec<Source> = (0..classes).map(|number| class(number, load, 10_000)).collect();
         let count = usize::from(classes);
-        let mut replays = [1, 2, 3, 4].map(|seed| Replay::seeded(&by_urgency(), &sources, seed));
+        let mut replays = [1, 2, 3, 4].map(|seed| Replay::seeded(&urgency_only(), &sources, seed));
 
         replays.iter_mut().for_each(|replay| replay.run(12_000));
 
@@ -87,7 +88,10 @@
         assert!(in_time[0] >= 0.97, "{classes}: {in_time:.2?}");
         let together = |count: usize| load * f64::from(u8::try_from(count).expect("few"));
         let fits = (1..count).take_while(|count| together(*count) <= 0.6).count();
-        assert!(in_time[..fits].iter().all(|part| *part >= 0.95), "{classes}: {in_time:.2?}");
+        assert!(
+            in_time[..fits].iter().all(|fraction| *fraction >= 0.95),
+            "{classes}: {in_time:.2?}"
+        );
         assert!(in_time.is_sorted_by(|one, next| one + 0.15 >= *next), "{in_time:.2?}");
         let least = replays.iter().map(|replay| replay.count(count - 1, 0, 10_000, End::InTime));
         assert!(least.clone().all(|least| least >= 6), "{classes}: {:?}", Vec::from_iter(least));
@@ -97,15 +101,15 @@
 /// Guards against a less urgent class that is never served while the most urgent class alone
 /// requests twice as much as the slots can serve.
 #[test]
-fn a_floor_is_left_while_a_more_urgent_class_alone_fills_the_slots() {
+fn a_less_urgent_class_keeps_its_floor_while_a_more_urgent_one_fills_the_slots() {
     let sources = [class(0, 2.0, 10_000), class(4, 0.5, 10_000)];
-    let mut replay = Replay::open(&by_urgency(), &sources);
+    let mut replay = Replay::open(&urgency_only(), &sources);
 
     replay.run(12_000);
 
     let served = replay.count(1, 0, 9_000, End::InTime) + replay.count(1, 0, 9_000, End::Late);
-    let floor = BEARS_PER_S * 9.0 / f64::from(FLOOR_EVERY);
-    let share = part(served, 540);
+    let floor = CAPACITY_PER_S * 9.0 / f64::from(FLOOR_EVERY);
+    let share = fraction(served, 540);
     println!("{served} of the less urgent served, {share:.2} of the slots");
     assert!(f64::from(u32::try_from(served).expect("few")) >= 0.9 * floor, "{served}");
 }
@@ -114,16 +118,16 @@
 /// although most could be. The load is 1.4 times the capacity for 8 s. Requests that cannot be
 /// served are refused before their deadline, and one second after the overload all are in time.
 #[test]
-fn a_lasting_overload_keeps_the_slots_at_what_is_in_time() {
+fn a_lasting_overload_still_fills_the_slots_with_timely_requests() {
     let sources = [class(4, 0.7, 14_000), Source { from_ms: 2_000, ..class(4, 0.7, 10_000) }];
-    let mut replay = Replay::open(&by_urgency(), &sources);
+    let mut replay = Replay::open(&urgency_only(), &sources);
 
     replay.run(18_000);
 
     for from in (2_000..10_000).step_by(1_000) {
         let both = [0, 1].map(|source| replay.count(source, from, from + 1_000, End::InTime));
         let in_time = both.iter().sum::<usize>();
-        println!("from {from} ms: {in_time} in time of {BEARS_PER_S} that the slots bear");
+        println!("from {from} ms: {in_time} in time of {CAPACITY_PER_S} that the slots bear");
         assert!(in_time >= 51, "from {from} ms: {in_time}");
     }
     let after = replay.in_time(0, 11_000, 14_000);
@@ -135,9 +139,9 @@
 /// Guards against refusals in a short overload: the clients could be served a second later, but
 /// would retry at once and add load, or fail.
 #[test]
-fn a_crowd_of_two_seconds_turns_nobody_away() {
+fn an_overload_of_two_seconds_refuses_nothing() {
     let sources = [class(4, 0.5, 9_000), Source { from_ms: 1_000, ..class(4, 0.9, 3_000) }];
-    let mut replay = Replay::open(&by_urgency(), &sources);
+    let mut replay = Replay::open(&urgency_only(), &sources);
 
     replay.run(12_000);
 
@@ -149,8 +153,8 @@
 /// Guards against clients that wait for seconds although it is known that the answer would miss the
 /// deadline even if all slots worked on the requests ahead.
 #[test]
-fn what_cannot_be_served_by_all_slots_is_refused_at_once() {
-    let mut queue = Queue::open(&by_urgency());
+fn unservable_requests_are_refused_at_once() {
+    let mut queue = Queue::open(&urgency_only());
     (0..300).for_each(|port| queue.push(waiting(port, 0, 1)));
     let fits = queue.can_serve(at(0), &IDLE, &Shares::default(), &waiting(1_000, 0, 0));
     let behind = queue.can_serve(at(0), &IDLE, &Shares::default(), &waiting(1_000, 0, 1));
@@ -166,8 +170,8 @@
 
 /// Guards against a reset of a flow that the server holds.
 #[test]
-fn what_may_not_be_refused_stays() {
-    let mut queue = Queue::open(&by_urgency());
+fn requests_that_may_not_be_refused_stay() {
+    let mut queue = Queue::open(&urgency_only());
     (0..300).for_each(|port| queue.push(waiting(port, 0, 1)));
 
     let refused = queue.take_unservable(at(20), &IDLE, &Shares::default(), |_| false);
@@ -178,12 +182,12 @@
 /// For random queues, no request goes while a more urgent one of the same timeliness waits, except
 /// those from the floor, which are at most one in ten.
 #[test]
-fn urgency_decides_among_what_is_equally_timely() {
+fn equally_timely_requests_go_by_urgency() {
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut queue = Queue::open(&by_urgency());
+        let mut queue = Queue::open(&urgency_only());
         let mut mirror: Vec<Waiting> = Vec::new();
-        let (mut passed, mut went) = (0, 0);
+        let (mut passed, mut served) = (0, 0);
         for step in 0..300_u32 {
             let now = 5_000 + u64::from(step) * 5;
             if rng.random_bool(0.6) {
@@ -205,18 +209,18 @@
                 Timeliness::of(at(now), other, &IDLE) == timeliness
                     && other.demand.urgency < gone.demand.urgency
             };
-            went += 1;
+            served += 1;
             passed += u32::from(mirror.iter().any(is_before));
         }
-        let most = went / u32::from(FLOOR_EVERY) + 1;
-        assert!(passed <= most, "seed {seed}: {passed} of {went}");
+        let most = served / u32::from(FLOOR_EVERY) + 1;
+        assert!(passed <= most, "seed {seed}: {passed} of {served}");
     }
 }
 
 /// Without the urgency mechanism, all requests are equally urgent. A deployment that does not
 /// declare contention uses neither urgency nor shares.
 #[test]
-fn urgency_counts_only_where_it_is_asked_for() {
+fn urgency_applies_only_with_its_mechanism() {
     let requests = [waiting(1, 900, 4), waiting(2, 910, 0)];
     let mut shares_only = Queue::open(&contention(&[Mechanism::Urgency]));
     requests.iter().for_each(|waiting| shares_only.push(waiting.clone()));
--- a/crates/nutmegkeel_core/tests/l4/waiting.rs
+++ b/crates/nutmegkeel_core/tests/l4/waiting.rs
@@ -39,7 +39,7 @@
 /// Guards against a backlog in which every answer is late although the servers could answer most
 /// clients in time: each slot would go to the request that has waited longest and is late already.
 #[test]
-fn after_a_long_wait_the_newest_goes_first() {
+fn after_a_long_wait_the_newest_request_goes_first() {
     let mut queue = Queue::open(&Policy::default());
     queue.push(waiting(1, 0));
     queue.push(waiting(2, 400));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_waited_elsewhere_does_not_pass_for_the_newest() {
+fn a_flow_that_waited_elsewhere_keeps_its_position() {
     let mut queue = Queue::open(&Policy::default());
     queue.push(waiting(1, 1_000));
     queue.push(waiting(2, 0));
@@ -61,21 +61,21 @@
 }
 
 #[test]
-fn a_flow_whose_request_has_not_come_is_passed_over() {
+fn a_flow_without_a_request_is_skipped_and_then_expires() {
     let mut queue = Queue::open(&Policy::default());
     queue.push(Waiting { request: None, ..waiting(1, 0) });
     queue.push(waiting(2, 10));
 
     let first = next(&mut queue, 20);
     let second = next(&mut queue, 20);
-    let gone = queue.take_expired(at(301), 0);
+    let expired = queue.take_expired(at(301), 0);
 
     assert_eq!((first, second), (Some(2), None));
-    assert_eq!(ports(&gone), [1]);
+    assert_eq!(ports(&expired), [1]);
 }
 
 #[test]
-fn a_request_is_given_up_when_its_answer_would_come_too_late() {
+fn a_request_expires_when_its_answer_would_miss_the_deadline() {
     let mut queue = Queue::open(&Policy::default());
     queue.push(waiting(1, 0));
 
@@ -89,15 +89,15 @@
 /// arrive as can be served. After the length of a burst, all requests are refused at once except
 /// those that the slots can serve within 100 ms.
 #[test]
-fn a_lasting_overload_turns_the_hopeless_away() {
+fn a_lasting_overload_refuses_the_excess() {
     let mut queue = Queue::open(&Policy::default());
     let mut refused = Vec::new();
     for now in (0..6_000).step_by(100) {
         (0..20).for_each(|port| queue.push(waiting(port, now)));
         (0..10).for_each(|_| assert!(queue.pop(at(now + 50), ANSWER_MS).is_some()));
         queue.take_expired(at(now + 50), 90);
-        let hopeless = queue.take_excess(at(now + 50), 7, 90_000);
-        refused.push((now, hopeless.len()));
+        let excess = queue.take_excess(at(now + 50), 7, 90_000);
+        refused.push((now, excess.len()));
     }
 
     let during_burst: usize = refused[..40].iter().map(|(_, count)| count).sum();
@@ -111,7 +111,7 @@
 /// served answers none of the 90 later requests in time; the queue must answer nearly all of them
 /// in time.
 #[test]
-fn a_burst_does_not_make_those_late_who_come_after_it() {
+fn requests_after_a_burst_are_answered_in_time() {
     let mut queue = Queue::open(&Policy::default());
     for port in 0..300 {
         queue.push(waiting(port, 0));
@@ -147,13 +147,13 @@
 
     (0..20).for_each(|port| queue.push(waiting(port, 60_000)));
     queue.take_expired(at(60_300), ANSWER_MS);
-    let hopeless = queue.take_excess(at(60_300), 7, 90_000);
+    let excess = queue.take_excess(at(60_300), 7, 90_000);
 
-    assert_eq!(hopeless.len(), 0);
+    assert_eq!(excess.len(), 0);
 }
 
 #[test]
-fn what_is_late_goes_oldest_first_and_behind_what_may_be_in_time() {
+fn late_requests_go_last_and_oldest_first() {
     let mut queue = Queue::open(&Policy::default());
     queue.push(waiting(1, 0));
     queue.push(waiting(2, 100));
@@ -172,7 +172,7 @@
 /// followed by 45 new ones a second, at a server with 7 slots and 90 ms per request: 32 a second
 /// remain.
 #[test]
-fn what_came_back_first_does_not_wait_for_the_whole_backlog() {
+fn retried_requests_are_answered_before_their_deadline_during_a_backlog() {
     let mut queue = Queue::open(&Policy::default());
     let left_ms = |port: u16| 500 + 35 * u64::from(port);
     for port in 0..30 {
@@ -189,9 +189,9 @@
             *slot = now + 90;
             let took = *slot - next.since.millis();
             let port = next.flow.client.port();
-            let came_back = port < 30;
-            answered += usize::from(came_back && took <= left_ms(port));
-            in_time += usize::from(!came_back && took <= 250);
+            let is_retry = port < 30;
+            answered += usize::from(is_retry && took <= left_ms(port));
+            in_time += usize::from(!is_retry && took <= 250);
         }
     }
 
--- a/crates/nutmegkeel_core/tests/l4/warmup.rs
+++ b/crates/nutmegkeel_core/tests/l4/warmup.rs
@@ -19,10 +19,10 @@
 };
 
 /// Returns the maximum number of openings in any second, bounds included.
-fn most_in_a_second(given: &[u64]) -> usize {
+fn peak_per_second(taken: &[u64]) -> usize {
     let within =
-        |start: &u64| given.iter().filter(|at| (*start..=*start + 1_000).contains(*at)).count();
-    given.iter().map(within).max().unwrap_or(0)
+        |start: &u64| taken.iter().filter(|at| (*start..=*start + 1_000).contains(*at)).count();
+    taken.iter().map(within).max().unwrap_or(0)
 }
 
 fn offered(port: u16, cold_per_s: u32) -> agent::Event {
@@ -52,28 +52,28 @@
 /// answer late or not at all. A server never gets more than its rate in a second, and further
 /// openings are declined at once, so that they can be placed elsewhere.
 #[test]
-fn a_cold_server_gets_its_rate_in_any_second_and_the_rest_is_refused_at_once() {
+fn a_cold_server_takes_its_rate_in_any_second_and_declines_the_rest() {
     for rate in [2, 20, 200] {
         let mut agent = cold_agent();
-        let mut given = Vec::new();
+        let mut taken = Vec::new();
         for now in 0..2_000 {
             let port = u16::try_from(now + 1).expect("a short replay");
             let actions = agent.handle(at(now), offered(port, rate));
             if takes(&actions) {
-                given.push(now);
+                taken.push(now);
             } else {
                 assert!(declined_as_cold(&actions), "{actions:?}");
             }
         }
 
-        let most = most_in_a_second(&given);
+        let peak = peak_per_second(&taken);
 
-        assert_eq!(most, usize::try_from(rate).expect("small"), "{given:?}");
+        assert_eq!(peak, usize::try_from(rate).expect("small"), "{taken:?}");
     }
 }
 
 #[test]
-fn a_warm_server_and_one_without_a_rate_are_not_bounded() {
+fn warm_servers_and_servers_without_a_rate_are_not_limited() {
     let mut warm = agent();
     warm.handle(at(0), agent::Event::Heartbeat(heartbeat("a", 1)));
     let mut without = cold_agent();
@@ -89,10 +89,10 @@
 /// Guards against treating servers as warm after a failure domain is taken back. The servers were
 /// restarted during the evacuation, and the last heartbeat that the agent has is from before that.
 #[test]
-fn a_server_taken_back_is_cold_until_it_says_otherwise() {
+fn a_server_taken_back_is_cold_until_its_next_heartbeat() {
     let mut agent = agent();
     agent.handle(at(0), agent::Event::Heartbeat(heartbeat("a", 1)));
-    let told = |number, domains: &[&str]| {
+    let orders_event = |number, domains: &[&str]| {
         let domains = domains.iter().map(|domain| (*domain).into()).collect();
         let orders = Some(Orders { revision: revision(number), domains });
         agent::Event::Roster(BALANCER, Roster { orders, ..gossip(1, &[], 1) })
@@ -104,8 +104,8 @@
         other => other,
     };
 
-    agent.handle(at(100), told(5, &[DOMAIN]));
-    agent.handle(at(1_000), told(6, &[]));
+    agent.handle(at(100), orders_event(5, &[DOMAIN]));
+    agent.handle(at(1_000), orders_event(6, &[]));
     let taken =
         (1..=5).filter(|port| takes(&agent.handle(at(1_010), offered_by(*port, 6)))).count();
     agent.handle(at(1_200), agent::Event::Heartbeat(heartbeat("a", 2)));
@@ -118,7 +118,7 @@
 /// Guards against exceeding a new rate while balancers have different configurations. Those with
 /// the old one send offers without a rate, and earlier openings must still count.
 #[test]
-fn what_was_given_counts_while_balancers_disagree_on_the_rate() {
+fn earlier_openings_count_when_balancers_disagree_on_the_rate() {
     let mut agent = cold_agent();
     let mut taken = 0;
     for port in 1..=10 {
@@ -133,7 +133,7 @@
     assert_eq!((without, then), (5, false));
 }
 
-fn cold_word(number: u64, room: u32) -> Announcement {
+fn cold_announcement(number: u64, room: u32) -> Announcement {
     Announcement {
         cold: true,
         room: Some(room),
@@ -149,15 +149,15 @@
     balancer.handle(at(0), Event::Configured(table));
     for millis in (0..=3_000).step_by(300) {
         for (agent, room) in rooms {
-            let word = cold_word(millis + 1, *room);
-            balancer.handle(at(millis), Event::Announced(host(*agent), word));
+            let announced = cold_announcement(millis + 1, *room);
+            balancer.handle(at(millis), Event::Announced(host(*agent), announced));
         }
     }
     balancer
 }
 
 #[test]
-fn openings_go_to_those_that_have_room() {
+fn openings_go_to_cold_servers_with_room() {
     let mut balancer = cold_balancer(&[(1, 0), (2, 3), (3, 0)]);
 
     let targets: Vec<_> = (1..=3)
@@ -172,7 +172,7 @@
 /// Guards against a client that waits until its opening times out when all servers of a service are
 /// cold and have reached their rate. A reset shows that its request has not run.
 #[test]
-fn what_no_cold_server_takes_is_refused_at_once() {
+fn an_opening_that_all_cold_servers_decline_is_refused_at_once() {
     let mut balancer = cold_balancer(&[(1, 0), (2, 0)]);
     let head = opening(flow(1), 0);
     let mut actions = balancer.handle(at(3_000), Event::Client(head));
@@ -189,38 +189,39 @@
 }
 
 #[test]
-fn balancers_tell_agents_the_rate() {
+fn offers_carry_the_cold_rate() {
     let mut balancer = cold_balancer(&[(1, 3)]);
 
     let actions = balancer.handle(at(3_000), Event::Client(opening(flow(1), 0)));
 
-    let is_told = |action: &Action| {
+    let is_offered = |action: &Action| {
         matches!(action, Action::Forward(_, Message::Open(Offer { cold_per_s: 20, .. })))
     };
-    assert!(actions.iter().any(is_told), "{actions:?}");
+    assert!(actions.iter().any(is_offered), "{actions:?}");
 }
 
 /// Guards against placing a flow outside the regions of its route because the nearest server is
 /// there: data that must not leave a region would be stored in another one.
 #[test]
-fn a_route_with_regions_is_placed_in_them_only() {
+fn a_route_with_regions_is_placed_only_in_them() {
     let regions = [(DOMAIN, "accra"), ("tema", "accra"), ("leeds", "shires")];
     let regions = regions.map(|(domain, region)| (domain.into(), region.into())).into();
     let own = Identity { regions, ..identity(BALANCER, Policy::default()) };
     let mut balancer = Balancer::open(at(0), own, &[]);
     balancer.handle(at(0), Event::Ordered(Orders::default()));
-    let bound = |region: &str| {
+    let restricted = |region: &str| {
         let regions = BTreeSet::from([region.into()]);
         Route { regions, ..route(default_service(), Kind::Once) }
     };
-    let routes = [(443, bound("shires")), (444, bound("accra")), (445, bound("nowhere"))];
+    let routes =
+        [(443, restricted("shires")), (444, restricted("accra")), (445, restricted("nowhere"))];
     let routes = routes.map(|(port, route)| (service_address(port), route)).into();
     balancer.handle(at(0), Event::Configured(Table { routes, ..table(1, &[]) }));
     for millis in (0..=3_000).step_by(300) {
         for (agent, domain) in [(1, DOMAIN), (2, "leeds"), (3, "tema")] {
-            let word = announcement(millis + 1, State::Ready, Load::default());
-            let word = Announcement { domain: domain.into(), ..word };
-            balancer.handle(at(millis), Event::Announced(host(agent), word));
+            let announced = announcement(millis + 1, State::Ready, Load::default());
+            let announced = Announcement { domain: domain.into(), ..announced };
+            balancer.handle(at(millis), Event::Announced(host(agent), announced));
         }
     }
 
@@ -245,14 +246,14 @@
         let mut budget = Budget::default();
         budget.set_rate(rate);
         let mut now = 0;
-        let mut given = Vec::new();
+        let mut taken = Vec::new();
         for pause in pauses {
             now += u64::from(pause);
             if budget.room(at(now)) != Some(0) {
                 budget.record(at(now));
-                given.push(now);
+                taken.push(now);
             }
         }
-        most_in_a_second(&given) <= usize::try_from(rate).expect("small")
+        peak_per_second(&taken) <= usize::try_from(rate).expect("small")
     }
 }
