--- a/crates/nutmegkeel_core/src/l4/agent.rs
+++ b/crates/nutmegkeel_core/src/l4/agent.rs
@@ -27,12 +27,12 @@
 
 use super::changes::Changes;
 use super::checkpoint::Recorder;
+use super::decision::{Cause, Decision};
 use super::flow::{Flow, Head};
 use super::handover::{Handover, Step};
 use super::health::ANNOUNCE_MS;
 use super::message::{Load, Message, Reason, State};
 use super::mute;
-use super::note::{Cause, Note};
 use super::outlier;
 use super::peer_state::States;
 use super::policy::{Mechanism, Policy};
@@ -255,7 +255,7 @@
     }
 
     fn log_accepted(&self, flow: Flow) -> Action {
-        Action::Note(Note::Accepted { flow, load: self.load() })
+        Action::Log(Decision::Accepted { flow, load: self.load() })
     }
 
     fn carry(&mut self, now: Time, from: Ipv4Addr, head: &Head, known: bool) -> Vec<Action> {
@@ -342,7 +342,9 @@
             self.balancer_states.delegates(now, &self.identity.domain, None, timeout_ms);
         let agents = self.agents_in_domain(now);
         match self.handover.step(now, &delegates, self.reaches_store(now), agents)? {
-            Step::Delegate(balancer, list) => Some(Action::Send(balancer, Message::SaveFlows(list))),
+            Step::Delegate(balancer, list) => {
+                Some(Action::Send(balancer, Message::SaveFlows(list)))
+            }
             Step::Write(list) => Some(Action::Save(list)),
         }
     }
@@ -368,6 +370,6 @@
 }
 
 fn reset(flow: Flow, client_ack: u32, cause: Cause) -> [Action; 2] {
-    let note = Note::Reset { flow, cause, asked: 0, version: 0 };
-    [Action::Reset { flow, seq: client_ack }, Action::Note(note)]
+    let note = Decision::Reset { flow, cause, asked: 0, version: 0 };
+    [Action::Reset { flow, seq: client_ack }, Action::Log(note)]
 }
--- a/crates/nutmegkeel_core/src/l4/agent/balancers.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/balancers.rs
@@ -5,8 +5,8 @@
 
 use super::{Action, Agent};
 use crate::clock::Time;
+use crate::l4::decision::Decision;
 use crate::l4::message::{Announcement, Gossip, Message};
-use crate::l4::note::Note;
 use crate::l4::placement::Change;
 use crate::l4::policy::Mechanism;
 use crate::l4::roster::LOCAL_SEND_INTERVAL_MS;
@@ -25,7 +25,8 @@
         &mut self,
         now: Time,
         from: Ipv4Addr,
-        gossip: &Gossip) -> Vec<Action> {
+        gossip: &Gossip,
+    ) -> Vec<Action> {
         self.agent_count = u64::from(gossip.agents);
         if gossip.leaving {
             self.introduced.remove(&from);
@@ -75,7 +76,7 @@
     /// Logs which balancers changed since the last tick.
     pub(super) fn log_balancer_changes(&mut self) -> Option<Action> {
         let changes = self.balancers_changed.take()?;
-        Some(Action::Note(Note::Balancers { changes, known: self.balancers.len() }))
+        Some(Action::Log(Decision::Balancers { changes, known: self.balancers.len() }))
     }
 
     /// Announces this agent to all balancers, because its state changed.
--- a/crates/nutmegkeel_core/src/l4/agent/evacuation.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/evacuation.rs
@@ -5,15 +5,15 @@
 
 use super::{Action, Agent};
 use crate::clock::Time;
-use crate::l4::evacuation::{Ledger, Orders};
+use crate::l4::decision::Decision;
+use crate::l4::evacuation::{Latest, Orders};
 use crate::l4::message::Message;
-use crate::l4::note::Note;
 use crate::revision::Revision;
 
 /// What an agent knows of the evacuation of its own failure domain.
 #[derive(Debug, Default)]
 pub(super) struct View {
-    latest_orders: Ledger,
+    latest_orders: Latest,
     /// Newest revision of orders under which a balancer sent an opening here; under that revision
     /// the failure domain was not evacuated.
     newest_offer: Revision,
@@ -39,12 +39,12 @@
     pub(super) fn apply_orders(&mut self, now: Time, orders: &Orders) -> Vec<Action> {
         let was_evacuated = self.is_evacuated();
         let before = self.evacuation.latest_orders.revision();
-        let changes = self.evacuation.latest_orders.take(orders).into_iter();
+        let changes = self.evacuation.latest_orders.apply(orders).into_iter();
         self.record_taken_back(now, was_evacuated);
         if before != Revision::ZERO && self.evacuation.latest_orders.revision().era > before.era {
             self.recorder.forget_saved();
         }
-        changes.map(|change| Action::Note(Note::Evacuation(change))).collect()
+        changes.map(|change| Action::Log(Decision::Evacuation(change))).collect()
     }
 
     fn is_evacuated(&self) -> bool {
--- a/crates/nutmegkeel_core/src/l4/agent/request.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/request.rs
@@ -4,9 +4,9 @@
 
 use super::{Action, Agent, reset};
 use crate::clock::Time;
+use crate::l4::decision::{Cause, Decision};
 use crate::l4::flow::Head;
 use crate::l4::message::{Admission, Offer, Reason};
-use crate::l4::note::{Cause, Note};
 use crate::l4::policy::Mechanism;
 use crate::l4::waiting::Waiting;
 
@@ -48,14 +48,14 @@
         if is_copy {
             return vec![action];
         }
-        self.budget.give(now);
+        self.budget.record(now);
         self.waiting.remove(&flow);
         self.refused.remove(&flow);
         self.table.open(now, flow, opening.head.seq, demand);
         self.record_asked(now, flow, opening.from);
         if self.may_wait(demand) && self.is_saturated() {
-            let (since, returns) = (opening.since, opening.offer.is_retry);
-            let waiting = Waiting { flow, since, opened: now, demand, returns, request: None };
+            let (since, is_retry) = (opening.since, opening.offer.is_retry);
+            let waiting = Waiting { flow, since, opened: now, demand, is_retry, request: None };
             self.waiting.push(waiting);
             self.table.set_waiting(flow, true);
         } else {
@@ -136,8 +136,8 @@
             return vec![Action::ToServer(0)];
         };
         let (flow, since, request) = (head.flow, now, Some(*head));
-        let returns = false;
-        self.waiting.push(Waiting { flow, since, opened: now, demand, returns, request });
+        let is_retry = false;
+        self.waiting.push(Waiting { flow, since, opened: now, demand, is_retry, request });
         self.table.set_waiting(flow, true);
         self.wait(now, head)
     }
@@ -157,14 +157,14 @@
             return vec![Action::ToServer(0)];
         }
         self.table.record_waiting(now, head);
-        if is_request && !self.waiting.note_request(head) && !self.requeue(now, head) {
+        if is_request && !self.waiting.record_request(head) && !self.requeue(now, head) {
             // The request came so long after its opening that it has lost its place in the queue.
             self.table.admit(now, head.flow);
             self.table.record_client(now, head);
             return vec![Action::ToServer(0)];
         }
-        let note = Note::Kept { flow: head.flow, cause: Cause::AllBusy };
-        if is_request { vec![Action::Keep(*head), Action::Note(note)] } else { Vec::new() }
+        let note = Decision::Kept { flow: head.flow, cause: Cause::AllBusy };
+        if is_request { vec![Action::Keep(*head), Action::Log(note)] } else { Vec::new() }
     }
 
     /// Releases waiting requests to the server as slots become free, and resets clients as soon as
@@ -185,10 +185,10 @@
             actions.extend(self.release_in_order(now));
             return actions;
         }
-        for waiting in self.waiting.take_late(now, self.pace.mean_us() / 1_000) {
+        for waiting in self.waiting.take_expired(now, self.pace.mean_us() / 1_000) {
             actions.extend(self.give_up(now, &waiting, Cause::Late));
         }
-        for waiting in self.waiting.take_hopeless(now, self.slots(), self.pace.mean_us()) {
+        for waiting in self.waiting.take_excess(now, self.slots(), self.pace.mean_us()) {
             match waiting.request.filter(|_| self.table.is_open(&waiting.flow)) {
                 // The server itself rejects what it has no room for, which shows that the request
                 // has not run.
@@ -230,7 +230,7 @@
         if self.table.is_open(&flow) && cause == Cause::Late {
             self.table.set_waiting(flow, false);
             let waited_ms = now.since(waiting.since);
-            actions.push(Action::Note(Note::Expired { flow, waited_ms }));
+            actions.push(Action::Log(Decision::Expired { flow, waited_ms }));
         } else if let Some(held) = self.table.remove(&flow) {
             actions.extend(reset(flow, held.client_ack, cause));
         }
--- a/crates/nutmegkeel_core/src/l4/balancer.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer.rs
@@ -31,11 +31,11 @@
 
 use super::cache::{Cache, Place};
 use super::changes::Changes;
-use super::evacuation::Ledger;
+use super::decision::{Cause, Decision};
+use super::evacuation::Latest;
 use super::fetch::Holder;
 use super::flow::{Flow, Head};
 use super::message::{Announcement, Load, Reason};
-use super::note::{Cause, Note};
 use super::peer_state::States;
 use super::placement::Pool;
 use super::policy::{Mechanism, Policy};
@@ -79,7 +79,7 @@
 pub struct Balancer {
     identity: Identity,
     table: Table,
-    latest_orders: Ledger,
+    latest_orders: Latest,
     pool: Pool,
     cache: Cache,
     peers: Roster,
@@ -139,7 +139,7 @@
         Self {
             identity,
             table: Table::default(),
-            latest_orders: Ledger::default(),
+            latest_orders: Latest::default(),
             pool,
             cache: Cache::default(),
             peers,
@@ -304,7 +304,7 @@
         if was_asked {
             self.learn_answer_time(after_ms);
         }
-        let log = Action::Note(Note::Declined { flow: head.flow, agent: from, reason, load });
+        let log = Action::Log(Decision::Declined { flow: head.flow, agent: from, reason, load });
         let mut actions = match (current, route.filter(|_| head.opens())) {
             (Some(agent), Some(_)) if agent != from => Vec::new(),
             (Some(agent), None) if agent != from => vec![carry_to(agent, false)],
@@ -336,11 +336,11 @@
         if table.version <= self.table.version {
             return Vec::new();
         }
-        let decision = Note::InForce { version: table.version, routes: table.routes.len() };
+        let decision = Decision::InForce { version: table.version, routes: table.routes.len() };
         let is_first = self.table.version == 0;
         self.shortage.configured(&table);
         self.table = table;
-        let mut actions = vec![Action::Note(decision)];
+        let mut actions = vec![Action::Log(decision)];
         if is_first {
             // Peers that still lack a configuration forward their packets here from now on.
             let heartbeat = self.heartbeat(now);
@@ -377,7 +377,7 @@
     }
 
     fn reset_flow(&self, flow: Flow, seq: u32, cause: Cause, asked: usize) -> Vec<Action> {
-        let decision = Note::Reset { flow, cause, asked, version: self.table.version };
-        vec![Action::Reset { flow, seq }, Action::Note(decision)]
+        let decision = Decision::Reset { flow, cause, asked, version: self.table.version };
+        vec![Action::Reset { flow, seq }, Action::Log(decision)]
     }
 }
--- a/crates/nutmegkeel_core/src/l4/balancer/discovery.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/discovery.rs
@@ -86,7 +86,8 @@
 
     /// Returns whether agents are still appearing.
     pub(super) fn is_discovering(&self, now: Time) -> bool {
-        let span = if self.pool.is_recently_started() { DISCOVERY_AFTER_START_MS } else { DISCOVERY_MS };
+        let span =
+            if self.pool.is_recently_started() { DISCOVERY_AFTER_START_MS } else { DISCOVERY_MS };
         now.since(self.discovery.last_appeared) <= span
     }
 
--- a/crates/nutmegkeel_core/src/l4/balancer/evacuation.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/evacuation.rs
@@ -3,9 +3,9 @@
 
 use super::{Action, Balancer};
 use crate::clock::Time;
+use crate::l4::decision::Decision;
 use crate::l4::evacuation::Orders;
 use crate::l4::message::Gossip;
-use crate::l4::note::Note;
 
 impl Balancer {
     /// Applies orders from the store or from an agent, and forwards them to the failure domain at
@@ -36,13 +36,13 @@
     /// there is no route yet.
     fn apply_orders(&mut self, now: Time, orders: &Orders) -> Vec<Action> {
         let was_unknown = self.latest_orders.orders().is_none();
-        let changes = self.latest_orders.take(orders);
+        let changes = self.latest_orders.apply(orders);
         if changes.is_empty() && !was_unknown {
             return Vec::new();
         }
         self.pool.set_evacuated(orders.domains.clone());
         let mut actions = if self.table.version > 0 { self.recall(now) } else { Vec::new() };
-        actions.extend(changes.into_iter().map(|change| Action::Note(Note::Evacuation(change))));
+        actions.extend(changes.into_iter().map(|change| Action::Log(Decision::Evacuation(change))));
         actions
     }
 }
--- a/crates/nutmegkeel_core/src/l4/balancer/event.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/event.rs
@@ -3,11 +3,11 @@
 use std::net::Ipv4Addr;
 
 use crate::l4::checkpoint::Checkpoint;
+use crate::l4::decision::Decision;
 use crate::l4::evacuation::Orders;
 use crate::l4::fetch::Holder;
 use crate::l4::flow::{Flow, Head};
 use crate::l4::message::{Announcement, Gossip, Load, Message, Reason, Summary};
-use crate::l4::note::Note;
 use crate::l4::route::Table;
 
 /// Input of a balancer.
@@ -113,5 +113,5 @@
     /// Write these agents' lists of open flows to the store.
     Commit(Vec<(Ipv4Addr, Checkpoint)>),
     /// Write a log line.
-    Note(Note),
+    Log(Decision),
 }
--- a/crates/nutmegkeel_core/src/l4/balancer/opening.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/opening.rs
@@ -6,10 +6,10 @@
 use super::{Action, Balancer};
 use crate::clock::Time;
 use crate::l4::cache::Place;
+use crate::l4::decision::{Cause, Decision};
 use crate::l4::flow::Head;
 use crate::l4::health::Health;
 use crate::l4::message::{Admission, Demand, Message, Offer};
-use crate::l4::note::{Cause, Note};
 use crate::l4::placement::Need;
 use crate::l4::policy::Mechanism;
 use crate::l4::route::{Kind, Route, Service, Urgency};
@@ -79,11 +79,15 @@
         self.pool.placed(choice.agent);
         let is_last = self.pool.open_agents(now, &need) <= tried.len() + 1;
         let admission = if for_idle && !is_last { Admission::IfIdle } else { Admission::IfInTime };
-        let decision =
-            Note::Placed { flow: head.flow, choice, attempt: tries, version: self.table.version };
+        let decision = Decision::Placed {
+            flow: head.flow,
+            choice,
+            attempt: tries,
+            version: self.table.version,
+        };
         let offer = self.offer(service, route, admission, waited_ms);
         let offer = Offer { is_retry, ..offer };
-        vec![Action::Forward(choice.agent, Message::Open(offer)), Action::Note(decision)]
+        vec![Action::Forward(choice.agent, Message::Open(offer)), Action::Log(decision)]
     }
 
     /// Handles an opening that no agent accepts. The client is refused at once, unless this
--- a/crates/nutmegkeel_core/src/l4/balancer/peers.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/peers.rs
@@ -6,9 +6,9 @@
 
 use super::{Action, Balancer, TICK_MS};
 use crate::clock::Time;
+use crate::l4::decision::Decision;
 use crate::l4::fetch::Holder;
 use crate::l4::message::{Gossip, Message};
-use crate::l4::note::Note;
 use crate::l4::peer_state::VALID_MS;
 use crate::l4::placement::Change;
 
@@ -62,10 +62,10 @@
     pub(super) fn log_changes(&mut self) -> Vec<Action> {
         let (peers, agents) = (self.peers.len(), self.pool.len());
         let balancers = self.balancers_changed.take();
-        let balancers = balancers.map(|changes| Note::Balancers { changes, known: peers });
+        let balancers = balancers.map(|changes| Decision::Balancers { changes, known: peers });
         let changed = self.agents_changed.take();
-        let changed = changed.map(|changes| Note::Agents { changes, known: agents });
-        balancers.into_iter().chain(changed).map(Action::Note).collect()
+        let changed = changed.map(|changes| Decision::Agents { changes, known: agents });
+        balancers.into_iter().chain(changed).map(Action::Log).collect()
     }
 
     /// Returns whether this balancer watches the store for its failure domain.
--- a/crates/nutmegkeel_core/src/l4/balancer/review.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/review.rs
@@ -2,7 +2,7 @@
 
 use super::{Action, Balancer};
 use crate::clock::Time;
-use crate::l4::note::{Cause, Note};
+use crate::l4::decision::{Cause, Decision};
 
 impl Balancer {
     /// Resets flows whose agent is now known to be dead, or that no agent holds. Guards against a
@@ -30,7 +30,7 @@
             }
         }
         if !silent.is_empty() {
-            actions.push(Action::Note(Note::AgentsSilent { agents: silent }));
+            actions.push(Action::Log(Decision::AgentsSilent { agents: silent }));
         }
         if knows_all_agents {
             for flow in self.cache.undecided(now) {
@@ -44,7 +44,7 @@
     fn rebalance(&mut self, now: Time) -> Vec<Action> {
         let levels = self.pool.rebalance(now);
         let abroad = self.pool.sent_remote();
-        let log = |level| Action::Note(Note::Spared { level, abroad });
+        let log = |level| Action::Log(Decision::Spared { level, abroad });
         levels.into_iter().map(log).collect()
     }
 }
--- a/crates/nutmegkeel_core/src/l4/table/held.rs
+++ b/crates/nutmegkeel_core/src/l4/table/held.rs
@@ -1,7 +1,7 @@
 //! A flow that a backend server holds, as far as its packets show.
 
 use crate::clock::Time;
-use crate::l4::flow::{DATA_REACH, Head, follows};
+use crate::l4::flow::{DATA_WINDOW, Head, follows};
 use crate::l4::health::FORGET_MS;
 use crate::l4::message::Demand;
 
@@ -102,7 +102,7 @@
 
     /// Returns whether a client's packet has data that did not arrive before.
     pub(super) fn brings_data(&self, head: &Head) -> bool {
-        let is_new = |next| follows(head.next_seq(), next, DATA_REACH);
+        let is_new = |next| follows(head.next_seq(), next, DATA_WINDOW);
         head.len > 0 && self.client_next.is_none_or(is_new)
     }
 
--- a/crates/nutmegkeel_core/src/l4/waiting/contended.rs
+++ b/crates/nutmegkeel_core/src/l4/waiting/contended.rs
@@ -1,4 +1,4 @@
-//! The queue where callers compete for room: by urgency, and by the callers' shares.
+//! Order of the queue by urgency and by callers' shares, where callers compete for room.
 
 use std::collections::BTreeSet;
 
@@ -11,20 +11,20 @@
 use crate::l4::route::Urgency;
 use crate::l4::share::{Shares, Standing};
 
-/// What the order and the refusals rest on.
+/// State from which the order and the refusals are computed.
 #[derive(Debug, Default)]
 pub(super) struct Contended {
-    /// Whether urgency counts; all are equally urgent otherwise.
+    /// Whether requests are ordered by urgency; otherwise all are equally urgent.
     by_urgency: bool,
     pub(super) floor: Floor,
-    /// When it was last looked for what cannot be served.
-    pub(super) looked: Time,
-    /// When something was last late or refused.
-    pub(super) last_trouble: Time,
+    /// When the queue was last checked for unservable requests.
+    pub(super) checked_at: Time,
+    /// When a request was last late or refused.
+    pub(super) last_overload_at: Time,
 }
 
 impl Contended {
-    /// None where nothing asks for it.
+    /// Creates the state, or returns `None` if the policy uses neither urgency nor shares.
     pub(super) fn open(policy: &Policy) -> Option<Self> {
         let by_urgency = policy.uses(Mechanism::Urgency);
         let is_used = by_urgency || policy.uses(Mechanism::FairShares);
@@ -36,17 +36,17 @@
     }
 }
 
-/// What is needed to rank requests at one moment.
+/// Ranks requests at one point in time.
 #[derive(Clone, Copy)]
-pub(super) struct Moment<'a> {
+pub(super) struct Ranker<'a> {
     pub(super) now: Time,
     pub(super) capacity: &'a Capacity,
     pub(super) shares: &'a Shares,
-    /// From this urgency on, and for less urgent ones, the newest goes first.
+    /// Requests of this urgency and of less urgent ones go newest first.
     pub(super) newest_first: Option<Urgency>,
 }
 
-impl Moment<'_> {
+impl Ranker<'_> {
     pub(super) fn class(&self, contended: &Contended, waiting: &Waiting) -> Class {
         let timeliness = Timeliness::of(self.now, waiting, self.capacity);
         Class::new(contended.urgency(waiting), timeliness)
@@ -55,46 +55,52 @@
     pub(super) fn rank(&self, class: Class, waiting: &Waiting) -> Rank {
         let standing = self.shares.standing(*waiting.flow.client.ip());
         let due = waiting.due().millis();
-        let is_crowded = self.newest_first.is_some_and(|from| class.urgency >= from);
-        let turn = if is_crowded && class.may_reverse() { u64::MAX - due } else { due };
-        Rank { class, standing, turn }
+        let newest_first = self.newest_first.is_some_and(|from| class.urgency >= from);
+        let order = if newest_first && class.may_reverse() { u64::MAX - due } else { due };
+        Rank { class, standing, order }
     }
 }
 
 impl Queue {
-    /// Whether callers compete for room here.
+    /// Returns whether requests are ordered by urgency or by callers' shares.
     #[must_use]
     pub const fn is_contended(&self) -> bool {
         self.contended.is_some()
     }
 
-    /// Takes out the request that goes next where callers compete, and how its caller stands.
+    /// Removes and returns the request that goes next where callers compete, with its caller's
+    /// standing.
     ///
-    /// First what can still be in time, the more urgent first, and with it what has its last chance now;
-    /// then what may be in time; then what is late. Among equals callers within their share come first, and
-    /// then the one that is due first; the one due last if pressure lasts and not all that can be in time
-    /// now will be, because the first would each be answered at the last moment, or late. One in
-    /// [`super::FLOOR_EVERY`] is of a less urgent class.
-    pub fn next(
+    /// Requests that can still be in time, or that have their last chance now, go first, the more
+    /// urgent of them before the others. Then come those that may be in time, then those that are
+    /// late. Among equals, callers within their share go first, then the request whose objective
+    /// ends first.
+    ///
+    /// The request whose objective ends last goes first instead if the overload lasts and not all
+    /// requests that can be in time now will be. Otherwise each request would be answered just
+    /// before its objective ends, or late. One in [`super::FLOOR_EVERY`] requests is of a less
+    /// urgent class.
+    pub fn pop_ranked(
         &mut self,
         now: Time,
         capacity: &Capacity,
         shares: &Shares,
     ) -> Option<(Waiting, Head, Standing)> {
-        let moment = self.moment(now, capacity, shares);
+        let ranker = self.ranker(now, capacity, shares);
         let contended = self.contended.as_ref()?;
-        let (best, rank) = self.first(&moment, contended, None)?;
+        let (best, rank) = self.highest_ranked(&ranker, contended, None)?;
         let first = rank.class.urgency;
         let others = self.requests().map(|(_, waiting)| contended.urgency(waiting));
-        let neglected = others.filter(|urgency| *urgency > first);
-        let neglected = neglected.min_by_key(|urgency| contended.floor.last(*urgency));
-        let owed = neglected.filter(|_| contended.floor.is_due());
-        let owed = owed.and_then(|urgency| self.first(&moment, contended, Some(urgency)));
-        let (index, rank) = owed.unwrap_or((best, rank));
+        let less_urgent = others.filter(|urgency| *urgency > first);
+        let less_urgent = less_urgent.min_by_key(|urgency| contended.floor.last_served(*urgency));
+        let from_floor = less_urgent.filter(|_| contended.floor.is_due());
+        let from_floor =
+            from_floor.and_then(|urgency| self.highest_ranked(&ranker, contended, Some(urgency)));
+        let (index, rank) = from_floor.unwrap_or((best, rank));
         if let Some(contended) = self.contended.as_mut() {
-            match owed {
-                Some(_) => contended.floor.note_owed(rank.class.urgency),
-                None => contended.floor.note(rank.class.urgency, neglected.is_some()),
+            match from_floor {
+                Some(_) => contended.floor.record_floor(rank.class.urgency),
+                None => contended.floor.record(rank.class.urgency, less_urgent.is_some()),
             }
         }
         let waiting = self.flows.remove(index)?;
@@ -102,38 +108,38 @@
         Some((waiting, request, rank.standing))
     }
 
-    /// Notes whether more comes than can be served: something is late. It is over when nothing has been
-    /// late or refused for the time of an objective.
-    pub(super) fn note_contention(&mut self, now: Time, answer_ms: u64) {
+    /// Records whether there is an overload. It starts when a request is late, and ends when none
+    /// has been late or refused for the length of an objective.
+    pub(super) fn update_contended_overload(&mut self, now: Time, answer_ms: u64) {
         let Some(contended) = self.contended.as_mut() else {
             return;
         };
         let late = self.flows.iter().find(|waiting| !waiting.is_in_time(now, answer_ms));
         if let Some(late) = late {
-            contended.last_trouble = now;
-            self.pressed.get_or_insert(now);
-            self.crowding_ms = u64::from(late.demand.objective_ms);
-        } else if now.since(contended.last_trouble) > self.crowding_ms {
-            self.pressed = None;
+            contended.last_overload_at = now;
+            self.overloaded_since.get_or_insert(now);
+            self.short_overload_ms = u64::from(late.demand.objective_ms);
+        } else if now.since(contended.last_overload_at) > self.short_overload_ms {
+            self.overloaded_since = None;
         }
     }
 
-    fn moment<'a>(&self, now: Time, capacity: &'a Capacity, shares: &'a Shares) -> Moment<'a> {
-        let may_reverse = self.newest_first && !self.is_short(now);
-        let newest_first = may_reverse.then(|| self.crowded_from(now, capacity)).flatten();
-        Moment { now, capacity, shares, newest_first }
+    fn ranker<'a>(&self, now: Time, capacity: &'a Capacity, shares: &'a Shares) -> Ranker<'a> {
+        let may_reverse = self.newest_first && !self.is_short_overload(now);
+        let newest_first = may_reverse.then(|| self.overloaded_from(now, capacity)).flatten();
+        Ranker { now, capacity, shares, newest_first }
     }
 
-    /// The most urgent class of which not all will be in time that can be now.
-    fn crowded_from(&self, now: Time, capacity: &Capacity) -> Option<Urgency> {
+    /// Returns the most urgent class in which not all requests that can be in time now will be.
+    fn overloaded_from(&self, now: Time, capacity: &Capacity) -> Option<Urgency> {
         let contended = self.contended.as_ref()?;
         let classes: BTreeSet<Urgency> =
             self.requests().map(|(_, waiting)| contended.urgency(waiting)).collect();
         classes.into_iter().find(|class| !self.is_feasible(now, capacity, *class))
     }
 
-    /// Whether all requests of a class and of more urgent ones that can be in time now will be, in the order of
-    /// arrival.
+    /// Returns whether all requests of this class and of more urgent ones that can be in time now
+    /// will be, if they go in the order of arrival.
     fn is_feasible(&self, now: Time, capacity: &Capacity, class: Urgency) -> bool {
         let is_meant = |waiting: &Waiting| {
             self.contended.as_ref().is_some_and(|contended| contended.urgency(waiting) <= class)
@@ -156,21 +162,22 @@
         all.filter(|(_, waiting)| waiting.request.is_some())
     }
 
-    /// The first in order, of one urgency if it is given. Shares are asked for only where classes are equal.
-    fn first(
+    /// Returns the request that ranks highest, among those of one urgency if `of` is given. Shares
+    /// are looked up only where classes are equal.
+    fn highest_ranked(
         &self,
-        moment: &Moment,
+        ranker: &Ranker,
         contended: &Contended,
         of: Option<Urgency>,
     ) -> Option<(usize, Rank)> {
         let mut best: Option<(usize, Rank)> = None;
         for (index, waiting) in self.requests() {
-            let class = moment.class(contended, waiting);
+            let class = ranker.class(contended, waiting);
             let is_meant = of.is_none_or(|urgency| urgency == class.urgency);
             if !is_meant || best.is_some_and(|(_, rank)| rank.class < class) {
                 continue;
             }
-            let rank = moment.rank(class, waiting);
+            let rank = ranker.rank(class, waiting);
             if best.is_none_or(|(_, other)| rank < other) {
                 best = Some((index, rank));
             }
--- a/crates/nutmegkeel_core/tests/l4/balance.rs
+++ b/crates/nutmegkeel_core/tests/l4/balance.rs
@@ -7,16 +7,16 @@
 
 use nutmegkeel_core::l4::agent;
 use nutmegkeel_core::l4::balancer::{Action, Balancer, Event};
+use nutmegkeel_core::l4::decision::Decision;
 use nutmegkeel_core::l4::flow::Head;
 use nutmegkeel_core::l4::message::{Announcement, Load, State};
-use nutmegkeel_core::l4::note::Note;
 use nutmegkeel_core::l4::placement::{Level, Need, Pool};
 use nutmegkeel_core::l4::policy::{Condition, Mechanism, Policy};
 use nutmegkeel_core::l4::route::Kind;
 
 use crate::fixture::{
-    BALANCER, DOMAIN, agent_with, ask, at, data, desk, flow, heartbeat, host, identity, load, need,
-    word,
+    BALANCER, DOMAIN, agent_with, announcement, at, data, default_service, flow, heartbeat, host,
+    identity, load, need, send_data,
 };
 use fleet::{Demand, Fleet, hash};
 
@@ -28,7 +28,7 @@
 const NO_SURCHARGE: u64 = 0;
 
 fn remote_announcement(number: u64, load: Load) -> Announcement {
-    Announcement { domain: REMOTE.into(), ..word(number, State::Ready, load) }
+    Announcement { domain: REMOTE.into(), ..announcement(number, State::Ready, load) }
 }
 
 /// Returns a pool that balances failure domains.
@@ -43,8 +43,8 @@
     for now in (from_ms..=until_ms).step_by(100) {
         if now % 300 == 0 {
             for (number, announcement) in [
-                (1, word(now + 1, State::Ready, local)),
-                (2, word(now + 1, State::Ready, local)),
+                (1, announcement(now + 1, State::Ready, local)),
+                (2, announcement(now + 1, State::Ready, local)),
                 (3, remote_announcement(now + 1, remote)),
                 (4, remote_announcement(now + 1, remote)),
             ] {
@@ -154,7 +154,7 @@
 
     for now in (3_100..=6_000).step_by(100) {
         for number in [1, 2] {
-            pool.announced(at(now), host(number), word(now, State::Ready, load(20, 40)));
+            pool.announced(at(now), host(number), announcement(now, State::Ready, load(20, 40)));
         }
         pool.rebalance(at(now));
     }
@@ -233,17 +233,17 @@
 fn a_restarted_agent_counts_with_the_flows_it_inherits() {
     let agent_of = |is_balanced: bool| {
         let mut pool = if is_balanced { pool() } else { Pool::default() };
-        pool.announced(at(0), host(1), word(1, State::Ready, load(2, 80)));
-        pool.announced(at(0), host(2), word(1, State::Ready, load(2, 78)));
-        pool.announced(at(300), host(1), word(2, State::Restarting, load(2, 80)));
+        pool.announced(at(0), host(1), announcement(1, State::Ready, load(2, 80)));
+        pool.announced(at(0), host(2), announcement(1, State::Ready, load(2, 78)));
+        pool.announced(at(300), host(1), announcement(2, State::Restarting, load(2, 80)));
         let back = |number, service, load| Announcement {
             incarnation: 2,
             service,
-            ..word(number, State::Ready, load)
+            ..announcement(number, State::Ready, load)
         };
         pool.announced(at(900), host(1), back(1, None, load(0, 0)));
-        pool.announced(at(1_000), host(1), back(2, Some(desk()), load(2, 5)));
-        pool.announced(at(1_000), host(2), word(2, State::Ready, load(2, 78)));
+        pool.announced(at(1_000), host(1), back(2, Some(default_service()), load(2, 5)));
+        pool.announced(at(1_000), host(2), announcement(2, State::Ready, load(2, 78)));
         chosen(&pool, 1_000, &need(flow(1).key(), Kind::Idempotent, &[]))
     };
 
@@ -256,11 +256,12 @@
 #[test]
 fn inherited_flows_are_forgotten_within_seconds() {
     let mut pool = pool();
-    pool.announced(at(0), host(1), word(1, State::Restarting, load(2, 80)));
+    pool.announced(at(0), host(1), announcement(1, State::Restarting, load(2, 80)));
     for now in (0..=9_000).step_by(300) {
-        let back = Announcement { incarnation: 2, ..word(now + 1, State::Ready, load(2, 5)) };
+        let back =
+            Announcement { incarnation: 2, ..announcement(now + 1, State::Ready, load(2, 5)) };
         pool.announced(at(now), host(1), back);
-        pool.announced(at(now), host(2), word(now + 1, State::Ready, load(2, 30)));
+        pool.announced(at(now), host(2), announcement(now + 1, State::Ready, load(2, 30)));
     }
 
     let agent = chosen(&pool, 9_000, &need(flow(1).key(), Kind::Idempotent, &[]));
@@ -274,9 +275,9 @@
 fn only_an_announced_restart_leaves_inherited_flows() {
     for last in [State::Ready, State::Closed] {
         let mut pool = pool();
-        pool.announced(at(0), host(1), word(1, last, load(2, 80)));
-        pool.announced(at(0), host(2), word(1, State::Ready, load(2, 30)));
-        let back = Announcement { incarnation: 2, ..word(1, State::Ready, load(0, 0)) };
+        pool.announced(at(0), host(1), announcement(1, last, load(2, 80)));
+        pool.announced(at(0), host(2), announcement(1, State::Ready, load(2, 30)));
+        let back = Announcement { incarnation: 2, ..announcement(1, State::Ready, load(0, 0)) };
         pool.announced(at(600), host(1), back);
 
         let agent = chosen(&pool, 600, &need(flow(1).key(), Kind::Idempotent, &[]));
@@ -294,7 +295,7 @@
         let mut agent = agent_with(policy);
         agent.handle(at(0), agent::Event::Heartbeat(heartbeat("one", 9)));
         for port in 1..=6 {
-            ask(&mut agent, 10, flow(port), 1_001);
+            send_data(&mut agent, 10, flow(port), 1_001);
             let ack = Head { len: 0, ..data(flow(10 + port), 1_001, 501) };
             agent.handle(at(10), agent::Event::Carry { from: BALANCER, head: ack, known: true });
         }
@@ -437,13 +438,14 @@
     let mut spared_changes = Vec::new();
     for now in (0..12_000).step_by(100) {
         let busy = if (3_000..6_000).contains(&now) { 30 } else { 2 };
-        for announcement in
-            [word(now + 1, State::Ready, load(busy, 40)), remote_announcement(now + 1, load(2, 40))]
-        {
+        for announcement in [
+            announcement(now + 1, State::Ready, load(busy, 40)),
+            remote_announcement(now + 1, load(2, 40)),
+        ] {
             let agent = if *announcement.domain == *DOMAIN { host(1) } else { host(3) };
             let actions = balancer.handle(at(now), Event::Announced(agent, announcement));
             spared_changes.extend(actions.into_iter().filter_map(|action| match action {
-                Action::Note(Note::Spared { level, .. }) => Some((now, level.is_spared)),
+                Action::Log(Decision::Spared { level, .. }) => Some((now, level.is_spared)),
                 _ => None,
             }));
         }
--- a/crates/nutmegkeel_core/tests/l4/balancer.rs
+++ b/crates/nutmegkeel_core/tests/l4/balancer.rs
@@ -6,8 +6,8 @@
 use nutmegkeel_core::l4::route::Service;
 
 use crate::fixture::{
-    BALANCER, PORT, announce, at, balancer, data, desk, flow, forwarded, host, identity, opening,
-    resets, roster, table, word,
+    BALANCER, PORT, announce, announcement, at, balancer, data, default_service, flow, forwarded,
+    gossip, host, identity, opening, resets, table,
 };
 
 fn declined(from: u8, head: nutmegkeel_core::l4::flow::Head, reason: Reason) -> Event {
@@ -81,7 +81,7 @@
 #[test]
 fn a_flow_is_not_reset_while_an_agent_restarts() {
     let mut balancer = balancer(&[1, 2]);
-    let restarting = word(9_000, State::Restarting, Load::default());
+    let restarting = announcement(9_000, State::Restarting, Load::default());
     balancer.handle(at(3_000), Event::Announced(host(2), restarting));
     announce(&mut balancer, &[1], 3_300, 4_500);
     let packet = data(flow(1), 1_001, 500);
@@ -214,7 +214,7 @@
     let mut balancer = balancer(&[1]);
     balancer.handle(at(3_000), Event::Configured(table(5, &[])));
 
-    balancer.handle(at(3_001), Event::Configured(table(4, &[(PORT, desk())])));
+    balancer.handle(at(3_001), Event::Configured(table(4, &[(PORT, default_service())])));
     let actions = balancer.handle(at(3_002), Event::Client(opening(flow(1), 0)));
 
     assert_eq!(balancer.version(), 5);
@@ -227,7 +227,7 @@
     let mut balancer = balancer(&[1, 2]);
     balancer.handle(at(3_000), Event::Client(opening(flow(1), 0)));
     balancer.handle(at(3_100), Event::Configured(table(2, &[(PORT, vault)])));
-    let mut other = word(9_000, State::Ready, Load::default());
+    let mut other = announcement(9_000, State::Ready, Load::default());
     other.service = Some(vault);
     balancer.handle(at(3_101), Event::Announced(host(3), other));
 
@@ -240,7 +240,7 @@
 fn a_peer_with_a_newer_configuration_is_asked_for_it() {
     let mut balancer = balancer(&[1]);
     let peer = host(77);
-    let gossip = roster(9, &[peer], 0);
+    let gossip = gossip(9, &[peer], 0);
 
     let actions = balancer.handle(at(3_000), Event::Gossip(peer, gossip));
 
@@ -252,7 +252,7 @@
 fn a_leaving_balancer_is_not_ready_and_reports_it() {
     let mut balancer = balancer(&[1]);
     let peer = host(77);
-    let gossip = roster(1, &[peer], 0);
+    let gossip = gossip(1, &[peer], 0);
     balancer.handle(at(3_000), Event::Gossip(peer, gossip));
     let before = balancer.is_ready(at(3_001));
 
@@ -281,7 +281,10 @@
 #[test]
 fn an_opening_does_not_wait_for_a_copy_when_one_agent_is_added() {
     let mut balancer = balancer(&[1, 2]);
-    balancer.handle(at(3_000), Event::Announced(host(9), word(1, State::Ready, Load::default())));
+    balancer.handle(
+        at(3_000),
+        Event::Announced(host(9), announcement(1, State::Ready, Load::default())),
+    );
     let head = opening(flow(1), 0);
     let first = forwarded(&balancer.handle(at(3_001), Event::Client(head)));
     let number = first.expect("it is placed").octets()[3];
@@ -322,7 +325,7 @@
 fn a_balancer_that_knows_fewer_agents_than_others_resets_nothing() {
     let mut balancer = balancer(&[1]);
     let peer = host(77);
-    let gossip = roster(1, &[peer], 2);
+    let gossip = gossip(1, &[peer], 2);
     balancer.handle(at(3_000), Event::Gossip(peer, gossip));
     let packet = data(flow(1), 1_001, 500);
     balancer.handle(at(3_001), Event::Client(packet));
@@ -341,7 +344,7 @@
     let is_sent = |actions: Vec<Action>| {
         actions.iter().any(|action| matches!(action, Action::Send(_, Message::Gossip(_))))
     };
-    let mut agreeing = word(9_000, State::Ready, Load::default());
+    let mut agreeing = announcement(9_000, State::Ready, Load::default());
     agreeing.balancers = nutmegkeel_core::l4::roster::digest([BALANCER].into_iter());
     balancer.handle(at(3_400), Event::Announced(host(1), agreeing.clone()));
 
@@ -364,7 +367,7 @@
 
     let mut asked = 0;
     for millis in (13_250..15_500).step_by(50) {
-        let announcement = word(millis + 100, State::Ready, Load::default());
+        let announcement = announcement(millis + 100, State::Ready, Load::default());
         let mut actions = balancer.handle(at(millis), Event::Announced(host(1), announcement));
         actions.extend(balancer.handle(at(millis), Event::Tick));
         let asks = |action: &&Action| matches!(action, Action::Send(_, Message::Locate { .. }));
@@ -403,7 +406,8 @@
 
     let first = balancer.handle(at(10), Event::Client(head));
     balancer.handle(at(20), Event::Ordered(Orders::default()));
-    let configured = balancer.handle(at(20), Event::Configured(table(1, &[(PORT, desk())])));
+    let configured =
+        balancer.handle(at(20), Event::Configured(table(1, &[(PORT, default_service())])));
     let again = balancer.handle(at(20), Event::Recalled(head));
 
     assert!(first.contains(&Action::Keep(head)), "{first:?}");
@@ -416,7 +420,7 @@
 fn a_kept_opening_is_eventually_answered() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     balancer.handle(at(0), Event::Ordered(Orders::default()));
-    balancer.handle(at(0), Event::Configured(table(1, &[(PORT, desk())])));
+    balancer.handle(at(0), Event::Configured(table(1, &[(PORT, default_service())])));
     let head = opening(flow(1), 0);
     let kept = balancer.handle(at(10), Event::Client(head));
 
@@ -434,8 +438,9 @@
 fn openings_are_placed_at_once_while_servers_come_back() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     balancer.handle(at(0), Event::Ordered(Orders::default()));
-    balancer.handle(at(0), Event::Configured(table(1, &[(PORT, desk())])));
-    balancer.handle(at(1), Event::Announced(host(1), word(1, State::Ready, Load::default())));
+    balancer.handle(at(0), Event::Configured(table(1, &[(PORT, default_service())])));
+    balancer
+        .handle(at(1), Event::Announced(host(1), announcement(1, State::Ready, Load::default())));
 
     let placed = (0..50)
         .filter(|port| {
@@ -443,7 +448,8 @@
             forwarded(&actions) == Some(host(1))
         })
         .count();
-    balancer.handle(at(3), Event::Announced(host(2), word(1, State::Ready, Load::default())));
+    balancer
+        .handle(at(3), Event::Announced(host(2), announcement(1, State::Ready, Load::default())));
     let next: Vec<_> = (50..90)
         .map(|port| forwarded(&balancer.handle(at(4), Event::Client(opening(flow(port), 0)))))
         .collect();
@@ -458,7 +464,7 @@
 fn a_balancer_without_a_configuration_relays_packets_to_one_that_has_it() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     let head = opening(flow(1), 0);
-    let gossip = |version| roster(version, &[], 3);
+    let gossip = |version| gossip(version, &[], 3);
     balancer.handle(at(1), Event::Gossip(host(8), gossip(0)));
 
     let alone = balancer.handle(at(10), Event::Client(head));
@@ -474,7 +480,7 @@
 #[test]
 fn a_packet_is_relayed_once() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
-    let gossip = roster(4, &[], 3);
+    let gossip = gossip(4, &[], 3);
     balancer.handle(at(1), Event::Gossip(host(9), gossip));
     let head = opening(flow(1), 0);
 
@@ -492,7 +498,8 @@
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     let head = data(flow(1), 1_001, 501);
     let early = balancer.handle(at(10), Event::Client(head));
-    balancer.handle(at(20), Event::Announced(host(1), word(1, State::Ready, Load::default())));
+    balancer
+        .handle(at(20), Event::Announced(host(1), announcement(1, State::Ready, Load::default())));
 
     let recalled = balancer.handle(at(60), Event::Tick);
     let asked = balancer.handle(at(60), Event::Recalled(head));
--- a/crates/nutmegkeel_core/tests/l4/checkpoint.rs
+++ b/crates/nutmegkeel_core/tests/l4/checkpoint.rs
@@ -2,7 +2,7 @@
 use nutmegkeel_core::l4::checkpoint::{Checkpoint, MIN_INTERVAL_MS};
 use nutmegkeel_core::l4::flow::Flow;
 
-use crate::fixture::{BALANCER, accepted, agent, at, data, flow, heartbeat, incarnation, roster};
+use crate::fixture::{BALANCER, accepted, agent, at, data, flow, gossip, heartbeat, incarnation};
 
 /// An earlier process's checkpoint with one flow at this server.
 fn recovered_from(server: &str, flow: Flow, ack: u32) -> Event {
@@ -130,7 +130,7 @@
 #[test]
 fn the_interval_between_checkpoints_grows_with_the_number_of_agents() {
     let mut agent = with_open_flow(0);
-    let roster = roster(1, &[BALANCER], 16_000);
+    let roster = gossip(1, &[BALANCER], 16_000);
     agent.handle(at(1_000), Event::Gossip(BALANCER, roster));
 
     let saves_at = |agent: &mut Agent, now: u64| {
--- a/crates/nutmegkeel_core/tests/l4/contended.rs
+++ b/crates/nutmegkeel_core/tests/l4/contended.rs
@@ -1,4 +1,4 @@
-//! Callers that compete for one backend server, in virtual time.
+//! Simulation, in virtual time, of callers that compete for one backend server.
 
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -18,18 +18,18 @@
 pub(crate) const OBJECTIVE_MS: u32 = 300;
 pub(crate) const DEADLINE_MS: u32 = 4_000;
 
-/// Requests that the server works on at once, and those that it is given ahead.
+/// Number of requests that the server works on at once, and number of those queued at the server.
 const SLOTS: usize = 3;
-const AHEAD: usize = 2;
+const QUEUED_AT_SERVER: usize = 2;
 
-/// A request takes a slot for a time in this range, in milliseconds.
+/// Shortest and longest time for which a request occupies a slot, in milliseconds.
 const SHORTEST_MS: u64 = 35;
 const LONGEST_MS: u64 = 65;
 
-/// What the slots bear in a second.
-pub(crate) const BEARS_PER_S: f64 = 60.0;
+/// Number of requests that the slots can serve per second.
+pub(crate) const CAPACITY_PER_S: f64 = 60.0;
 
-/// The policy of a deployment whose callers compete for room, without some mechanisms.
+/// Returns the policy of a deployment whose callers compete for room, without some mechanisms.
 pub(crate) fn contention(without: &[Mechanism]) -> Policy {
     Policy::without(without.iter().copied()).under([Condition::Contention])
 }
@@ -38,7 +38,7 @@
     Urgency::new(number).expect("an urgency")
 }
 
-/// Requests of some callers of a failure domain, at a steady rate in a span of time.
+/// Source of requests: callers of one failure domain, at a steady rate during a time range.
 #[derive(Clone, Debug)]
 pub(crate) struct Source {
     pub(crate) urgency: u8,
@@ -49,26 +49,26 @@
     pub(crate) until_ms: u64,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum End {
     InTime,
     Late,
-    /// Refused while there was time left.
+    /// Refused before its deadline.
     Refused,
-    /// Its deadline was about to pass.
+    /// Removed because an answer would have missed the deadline.
     Expired,
 }
 
-/// One request that has ended.
+/// Request that has ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ended {
     pub(crate) source: usize,
-    pub(crate) came_ms: u64,
+    pub(crate) arrived_ms: u64,
     pub(crate) end: End,
 }
 
-/// The replay.
+/// Simulated agent queue and backend server.
 pub(crate) struct Replay {
     pub(crate) queue: Queue,
     pub(crate) shares: Shares,
@@ -104,10 +104,10 @@
         self.run_with(until_ms, |_, _| {});
     }
 
-    /// Runs, and lets something else happen at each millisecond.
-    pub(crate) fn run_with(&mut self, until_ms: u64, mut happen: impl FnMut(&mut Self, u64)) {
+    /// Runs the simulation, and calls `on_tick` at each millisecond.
+    pub(crate) fn run_with(&mut self, until_ms: u64, mut on_tick: impl FnMut(&mut Self, u64)) {
         for now in 0..until_ms {
-            happen(self, now);
+            on_tick(self, now);
             self.arrive(now);
             self.answer(now);
             self.give_up(now);
@@ -134,10 +134,15 @@
             let address = Ipv4Addr::from_bits((100 << 24 | u32::from(domain) << 16) + number);
             let waiting = request(address, self.count, now, demand(source.urgency));
             if self.uses_shares {
-                self.shares.ask(at(now), address, &Arc::from(source.domain), self.mean_us());
+                self.shares.record_request(
+                    at(now),
+                    address,
+                    &Arc::from(source.domain),
+                    self.mean_us(),
+                );
             }
             let capacity = self.capacity();
-            if self.queue.bears(at(now), &capacity, &self.shares, &waiting) {
+            if self.queue.can_serve(at(now), &capacity, &self.shares, &waiting) {
                 self.queue.push(waiting);
             } else {
                 self.end(&waiting, End::Refused);
@@ -156,7 +161,7 @@
     }
 
     fn give_up(&mut self, now: u64) {
-        for waiting in self.queue.take_late(at(now), self.mean_us() / 1_000) {
+        for waiting in self.queue.take_expired(at(now), self.mean_us() / 1_000) {
             self.end(&waiting, End::Expired);
         }
         let capacity = self.capacity();
@@ -167,11 +172,12 @@
     }
 
     fn release(&mut self, now: u64) {
-        while self.busy.len() + self.at_server.len() < SLOTS + AHEAD
-            && let Some((next, _, _)) = self.queue.next(at(now), &self.capacity(), &self.shares)
+        while self.busy.len() + self.at_server.len() < SLOTS + QUEUED_AT_SERVER
+            && let Some((next, _, _)) =
+                self.queue.pop_ranked(at(now), &self.capacity(), &self.shares)
         {
             if self.uses_shares {
-                self.shares.receive(at(now), *next.flow.client.ip(), self.mean_us());
+                self.shares.record_served(at(now), *next.flow.client.ip(), self.mean_us());
             }
             self.at_server.push_back(next);
         }
@@ -179,8 +185,8 @@
 
     fn end(&mut self, waiting: &Waiting, end: End) {
         let source = usize::from(waiting.flow.client.ip().octets()[1]);
-        let came_ms = waiting.since.millis();
-        self.ended.push(Ended { source, came_ms, end });
+        let arrived_ms = waiting.since.millis();
+        self.ended.push(Ended { source, arrived_ms, end });
     }
 
     fn capacity(&self) -> Capacity {
@@ -192,25 +198,25 @@
         (SHORTEST_MS + LONGEST_MS) * 1_000 / 2
     }
 
-    /// Requests of a source that came in a span of time and ended so.
+    /// Returns how many requests of a source arrived in a time range and had this outcome.
     pub(crate) fn count(&self, source: usize, from_ms: u64, until_ms: u64, end: End) -> usize {
         let is_meant = |ended: &&Ended| {
-            let came = ended.came_ms;
-            ended.source == source && (from_ms..until_ms).contains(&came) && ended.end == end
+            let arrived_ms = ended.arrived_ms;
+            ended.source == source && (from_ms..until_ms).contains(&arrived_ms) && ended.end == end
         };
         self.ended.iter().filter(is_meant).count()
     }
 
-    /// Part of a source's requests of a span of time that were answered in time.
+    /// Returns the fraction of a source's requests of a time range that were answered in time.
     pub(crate) fn in_time(&self, source: usize, from_ms: u64, until_ms: u64) -> f64 {
         let ends = [End::InTime, End::Late, End::Refused, End::Expired];
         let counts = ends.map(|end| self.count(source, from_ms, until_ms, end));
-        part(counts[0], counts.iter().sum())
+        fraction(counts[0], counts.iter().sum())
     }
 }
 
-/// One count as a part of another.
-pub(crate) fn part(count: usize, all: usize) -> f64 {
+/// Returns `count` as a fraction of `all`.
+pub(crate) fn fraction(count: usize, all: usize) -> f64 {
     let number = |count: usize| f64::from(u32::try_from(count).expect("a short replay"));
     number(count) / number(all.max(1))
 }
@@ -220,11 +226,11 @@
     Demand { objective_ms: OBJECTIVE_MS, deadline_ms: DEADLINE_MS, once: false, urgency }
 }
 
-/// A caller's request that came now, on a flow with a number of its own.
+/// Returns a request of a caller that arrives at `now`, on a flow with this number.
 pub(crate) fn request(address: Ipv4Addr, number: u32, now: u64, demand: Demand) -> Waiting {
     let port = u16::try_from(number % 60_000).expect("a port");
     let client = SocketAddrV4::new(address, 1_024 + port);
     let flow = Flow { client, service: service_address(443) };
     let (since, request) = (at(now), Some(data(flow, 1_001, 501)));
-    Waiting { flow, since, opened: since, demand, returns: false, request }
+    Waiting { flow, since, opened: since, demand, is_retry: false, request }
 }
--- a/crates/nutmegkeel_core/tests/l4/delegate.rs
+++ b/crates/nutmegkeel_core/tests/l4/delegate.rs
@@ -11,8 +11,8 @@
 use nutmegkeel_core::l4::policy::Policy;
 
 use crate::fixture::{
-    self, BALANCER, DOMAIN, PORT, agent, ask, at, data, demand, desk, flow, heartbeat, host,
-    identity, open, resets, roster, table,
+    self, BALANCER, DOMAIN, PORT, agent, at, data, default_service, demand, flow, gossip,
+    heartbeat, host, identity, open_flow, resets, send_data, table,
 };
 
 /// Pause between two ticks of the balancers, in milliseconds.
@@ -41,7 +41,7 @@
     for millis in times.step_by(TICK_MS) {
         for sender in numbers(balancers).filter(|sender| !silent.contains(sender)) {
             for receiver in numbers(balancers).filter(|receiver| *receiver != sender) {
-                let gossip = Event::Gossip(host(sender), roster(1, &[], 3));
+                let gossip = Event::Gossip(host(sender), gossip(1, &[], 3));
                 balancers[usize::from(receiver) - 1].handle(at(millis), gossip);
             }
         }
@@ -143,7 +143,7 @@
 fn two_delegates_remain_while_the_store_is_unreachable_for_all() {
     let mut states = States::default();
     for number in 1..=12 {
-        let gossip = Gossip { reaches_store: false, ..roster(0, &[], 0) };
+        let gossip = Gossip { reaches_store: false, ..gossip(0, &[], 0) };
         states.apply(at(0), host(number), &gossip);
     }
 
@@ -155,7 +155,7 @@
 #[test]
 fn balancers_of_other_failure_domains_are_no_delegates() {
     let mut states = States::default();
-    states.apply(at(0), host(1), &Gossip { domain: "tema".into(), ..roster(1, &[], 0) });
+    states.apply(at(0), host(1), &Gossip { domain: "tema".into(), ..gossip(1, &[], 0) });
 
     let delegates = states.delegates(at(1), DOMAIN, None, VALID_MS);
 
@@ -167,9 +167,10 @@
 #[test]
 fn a_new_configuration_is_sent_to_the_whole_failure_domain_at_once() {
     let mut balancers = domain(12);
-    balancers[0].handle(at(10), Event::Configured(table(2, &[(PORT, desk())])));
+    balancers[0].handle(at(10), Event::Configured(table(2, &[(PORT, default_service())])));
 
-    let sent = balancers[0].handle(at(20), Event::Configured(table(3, &[(PORT, desk())])));
+    let sent =
+        balancers[0].handle(at(20), Event::Configured(table(3, &[(PORT, default_service())])));
 
     assert_eq!(gossip_messages(&sent).iter().filter(|(_, gossip)| gossip.version == 3).count(), 11);
 }
@@ -181,7 +182,7 @@
     let mut balancer = fixture::balancer(&[1, 2]);
     for now in (0..=3_000).step_by(500) {
         for number in 40..=80 {
-            balancer.handle(at(now), Event::Gossip(host(number), roster(1, &[], 3)));
+            balancer.handle(at(now), Event::Gossip(host(number), gossip(1, &[], 3)));
         }
         balancer.handle(at(now), Event::Tick);
     }
@@ -202,7 +203,7 @@
 #[test]
 fn differing_views_are_answered_rarely() {
     let mut balancer = balancer(1);
-    let differs = Gossip { digest: 7, ..roster(1, &[], 3) };
+    let differs = Gossip { digest: 7, ..gossip(1, &[], 3) };
 
     let lists: Vec<usize> = [0, 100, 500, 1_000, 4_100]
         .into_iter()
@@ -368,9 +369,9 @@
     let mut agent = agent();
     agent.handle(at(0), agent::Event::Recovered(None));
     agent.handle(at(1), agent::Event::Heartbeat(heartbeat("a", 1)));
-    agent.handle(at(3_000), agent::Event::Gossip(BALANCER, roster(1, &[], 20)));
-    open(&mut agent, 3_000, flow(1), demand(false));
-    ask(&mut agent, 3_002, flow(1), 1_001);
+    agent.handle(at(3_000), agent::Event::Gossip(BALANCER, gossip(1, &[], 20)));
+    open_flow(&mut agent, 3_000, flow(1), demand(false));
+    send_data(&mut agent, 3_002, flow(1), 1_001);
 
     let actions = agent.handle(at(3_100), agent::Event::Tick);
 
@@ -415,11 +416,11 @@
     let mut agent = agent();
     agent.handle(at(0), agent::Event::Recovered(None));
     agent.handle(at(1), agent::Event::Heartbeat(heartbeat("a", 1)));
-    agent.handle(at(3_000), agent::Event::Gossip(BALANCER, roster(1, &[], 10)));
-    let remote = Gossip { domain: "tema".into(), ..roster(1, &[], 10) };
+    agent.handle(at(3_000), agent::Event::Gossip(BALANCER, gossip(1, &[], 10)));
+    let remote = Gossip { domain: "tema".into(), ..gossip(1, &[], 10) };
     agent.handle(at(3_000), agent::Event::Gossip(host(9), remote));
-    open(&mut agent, 3_000, flow(1), demand(false));
-    ask(&mut agent, 3_002, flow(1), 1_001);
+    open_flow(&mut agent, 3_000, flow(1), demand(false));
+    send_data(&mut agent, 3_002, flow(1), 1_001);
 
     let actions = agent.handle(at(3_100), agent::Event::Tick);
 
--- a/crates/nutmegkeel_core/tests/l4/introduction.rs
+++ b/crates/nutmegkeel_core/tests/l4/introduction.rs
@@ -7,7 +7,7 @@
 use nutmegkeel_core::l4::message::{Gossip, Load, Message, State};
 use nutmegkeel_core::l4::policy::Policy;
 
-use crate::fixture::{BALANCER, at, host, identity, roster, word};
+use crate::fixture::{BALANCER, announcement, at, gossip, host, identity};
 
 /// Balancers that know only their seeds, and what they have sent.
 struct Fleet {
@@ -95,13 +95,13 @@
 fn agents_that_start_together_are_all_answered_but_few_with_lists() {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     for peer in 1..=60 {
-        balancer.handle(at(0), Event::Gossip(host(peer), roster(1, &[], 0)));
+        balancer.handle(at(0), Event::Gossip(host(peer), gossip(1, &[], 0)));
     }
 
     let mut answered = BTreeSet::new();
     let mut lists = 0;
     for agent in 61..=200 {
-        let first = Event::Announced(host(agent), word(1, State::Ready, Load::default()));
+        let first = Event::Announced(host(agent), announcement(1, State::Ready, Load::default()));
         let gossip_messages = gossip_messages(balancer.handle(at(10), first));
         answered
             .extend(gossip_messages.iter().filter(|(to, _)| *to == host(agent)).map(|(to, _)| *to));
@@ -119,7 +119,7 @@
     let mut balancer =
         Balancer::open(at(0), identity(BALANCER, Policy::default()), &[host(1), host(2)]);
     balancer.handle(at(0), Event::Tick);
-    balancer.handle(at(10), Event::Gossip(host(1), roster(1, &[], 0)));
+    balancer.handle(at(10), Event::Gossip(host(1), gossip(1, &[], 0)));
 
     let receivers: Vec<Ipv4Addr> = (50..=3_000)
         .step_by(50)
@@ -144,11 +144,11 @@
     for (number, now) in (0_u8..40).zip((0..).step_by(300)) {
         for balancer in &mut balancers {
             for peer in (1..=20).chain([100 + number]) {
-                balancer.handle(at(now), Event::Gossip(host(peer), roster(1, &[], 0)));
+                balancer.handle(at(now), Event::Gossip(host(peer), gossip(1, &[], 0)));
             }
         }
         for agent in 21..=80 {
-            let announcement = word(1 + now / 300, State::Ready, Load::default());
+            let announcement = announcement(1 + now / 300, State::Ready, Load::default());
             for balancer in &mut balancers {
                 let event = Event::Announced(host(agent), announcement.clone());
                 if gets_list(&gossip_messages(balancer.handle(at(now), event)), host(agent)) {
--- a/crates/nutmegkeel_core/tests/l4/recovery.rs
+++ b/crates/nutmegkeel_core/tests/l4/recovery.rs
@@ -13,8 +13,8 @@
 
 use crate::backend::Server;
 use crate::fixture::{
-    BALANCER, DOMAIN, PORT, accepted, at, data, desk, flow, heartbeat, host, identity, opening,
-    table,
+    BALANCER, DOMAIN, PORT, accepted, at, data, default_service, flow, heartbeat, host, identity,
+    opening, table,
 };
 
 /// Number of agents, and time between their starts; the last one starts after 0.2 s.
@@ -111,7 +111,7 @@
             self.handle_at_balancer(now, balancer::Event::Ordered(Orders::default()), None);
             self.handle_at_balancer(
                 now,
-                balancer::Event::Configured(table(1, &[(PORT, desk())])),
+                balancer::Event::Configured(table(1, &[(PORT, default_service())])),
                 None,
             );
         }
--- a/crates/nutmegkeel_core/tests/l4/replica.rs
+++ b/crates/nutmegkeel_core/tests/l4/replica.rs
@@ -10,7 +10,7 @@
 use nutmegkeel_core::l4::policy::{Mechanism, Policy};
 
 use crate::fixture::{
-    BALANCER, DOMAIN, at, balancer, heartbeat, host, identity, revision, roster, word,
+    BALANCER, DOMAIN, announcement, at, balancer, gossip, heartbeat, host, identity, revision,
 };
 
 /// An agent at this address, with a server, in a domain with this number of agents, that knows of
@@ -26,7 +26,7 @@
     };
     let mut agent = Agent::open(at(0), own, &[BALANCER]);
     agent.handle(at(1), agent::Event::Heartbeat(heartbeat("a", 1)));
-    agent.handle(at(2_900), agent::Event::Gossip(BALANCER, roster(5, &[], agents)));
+    agent.handle(at(2_900), agent::Event::Gossip(BALANCER, gossip(5, &[], agents)));
     agent
 }
 
@@ -63,7 +63,7 @@
     agent.handle(at(3_000), agent::Event::Fetched(7));
 
     let older = fetches(&mut agent, 4_100);
-    agent.handle(at(4_150), agent::Event::Gossip(BALANCER, roster(8, &[], 2)));
+    agent.handle(at(4_150), agent::Event::Gossip(BALANCER, gossip(8, &[], 2)));
     let newer = fetches(&mut agent, 4_200);
 
     assert_eq!((older, newer), (false, true));
@@ -91,8 +91,10 @@
 /// in that time, and after their restart they know agents but no routes.
 #[test]
 fn a_balancer_without_a_configuration_fetches_it_from_an_agent() {
-    let announcement =
-        |number, replica| Announcement { replica, ..word(number, State::Ready, Load::default()) };
+    let announcement = |number, replica| Announcement {
+        replica,
+        ..announcement(number, State::Ready, Load::default())
+    };
     let mut started = Balancer::open(at(0), identity(BALANCER, Policy::default()), &[]);
     let mut running = balancer(&[1]);
 
@@ -118,12 +120,12 @@
 fn an_agent_sends_its_orders_to_a_balancer_that_knows_none() {
     let orders = Orders { revision: revision(5), domains: [DOMAIN.into()].into() };
     let mut agent = agent_of(host(1), 2, Policy::default());
-    let known = Gossip { orders: Some(orders.clone()), ..roster(5, &[], 2) };
+    let known = Gossip { orders: Some(orders.clone()), ..gossip(5, &[], 2) };
     agent.handle(at(3_000), agent::Event::Gossip(BALANCER, known));
 
-    let unknown = Gossip { orders: None, ..roster(0, &[], 2) };
+    let unknown = Gossip { orders: None, ..gossip(0, &[], 2) };
     let sent = agent.handle(at(3_010), agent::Event::Gossip(host(9), unknown));
-    let unchanged = agent.handle(at(3_020), agent::Event::Gossip(BALANCER, roster(5, &[], 2)));
+    let unchanged = agent.handle(at(3_020), agent::Event::Gossip(BALANCER, gossip(5, &[], 2)));
 
     let sends_orders = |actions: &[agent::Action]| {
         actions.iter().any(|action| matches!(action, agent::Action::Send(_, Message::Orders(_))))
--- a/crates/nutmegkeel_core/tests/l4/room.rs
+++ b/crates/nutmegkeel_core/tests/l4/room.rs
@@ -13,8 +13,8 @@
 use nutmegkeel_core::l4::route::{Kind, Urgency};
 
 use crate::fixture::{
-    BALANCER, DOMAIN, PORT, at, desk, flow, forwarded, host, identity, need, opening,
-    service_address, table, word,
+    BALANCER, DOMAIN, PORT, announcement, at, default_service, flow, forwarded, host, identity,
+    need, opening, service_address, table,
 };
 
 const REMOTE: &str = "tema";
@@ -43,7 +43,7 @@
 }
 
 pub(crate) fn announcement_of(agent: u8, now: u64, load: Load) -> Announcement {
-    Announcement { domain: domain_of(agent).into(), ..word(now + 100, State::Ready, load) }
+    Announcement { domain: domain_of(agent).into(), ..announcement(now + 100, State::Ready, load) }
 }
 
 pub(crate) fn contention_policy() -> Policy {
@@ -61,7 +61,7 @@
 pub(crate) fn balancer_with(policy: Policy, until_ms: u64, loads: impl Fn(u8) -> Load) -> Balancer {
     let mut balancer = Balancer::open(at(0), identity(BALANCER, policy), &[]);
     balancer.handle(at(0), Event::Ordered(Orders::default()));
-    let mut table = table(1, &[(PORT, desk()), (LESS_URGENT_PORT, desk())]);
+    let mut table = table(1, &[(PORT, default_service()), (LESS_URGENT_PORT, default_service())]);
     let urgent = Urgency::new(1).expect("a valid urgency");
     table.routes.get_mut(&service_address(PORT)).expect("the route exists").urgency = urgent;
     balancer.handle(at(0), Event::Configured(table));
@@ -82,7 +82,7 @@
 
 /// Returns the numbers of the first agents in a flow's order.
 fn first_five(flow: Flow) -> Vec<u8> {
-    let agents = pool(0, |_| IDLE).search_first(flow.key(), &[desk()], DOMAIN);
+    let agents = pool(0, |_| IDLE).search_first(flow.key(), &[default_service()], DOMAIN);
     agents.into_iter().map(number).collect()
 }
 
@@ -178,7 +178,7 @@
         assert_eq!(choice.map(|choice| number(choice.agent)), Some(12));
     }
     let rooms = pool.rooms(at(later));
-    let remote = rooms.get(&(desk(), REMOTE.into())).copied().unwrap_or_default();
+    let remote = rooms.get(&(default_service(), REMOTE.into())).copied().unwrap_or_default();
     assert_eq!((remote.free, remote.doubtful), (0, remote.servers));
 }
 
@@ -224,7 +224,7 @@
     for pool in &mut pools {
         for agent in 1..=60 {
             let load = if u8::is_multiple_of(agent, 6) { IDLE } else { FULL };
-            let announcement = Announcement { slots: 3, ..word(100, State::Ready, load) };
+            let announcement = Announcement { slots: 3, ..announcement(100, State::Ready, load) };
             pool.announced(at(0), host(agent), announcement);
         }
     }
@@ -252,7 +252,7 @@
         let choice = pool.choose_free(at(3_000), &need(flow(port).key(), Kind::Once, &[]));
         assert!(choice.is_some_and(|choice| domain_of(number(choice.agent)) == DOMAIN));
     }
-    assert_eq!(pool.rooms(at(3_000))[&(desk(), REMOTE.into())], Room::default());
+    assert_eq!(pool.rooms(at(3_000))[&(default_service(), REMOTE.into())], Room::default());
 }
 
 /// A cold server has free slots, but has received all openings that it can accept for now.
--- a/crates/nutmegkeel_core/tests/l4/server.rs
+++ b/crates/nutmegkeel_core/tests/l4/server.rs
@@ -1,7 +1,7 @@
 use nutmegkeel_core::l4::route::Service;
 use nutmegkeel_core::l4::server::{History, Incarnation, Update};
 
-use crate::fixture::{at, heartbeat, heartbeat_of, incarnation};
+use crate::fixture::{at, heartbeat, heartbeat_started_at, incarnation};
 
 /// Guards against the reset of flows of a running server: the server before it at this address
 /// crashed during a partition, and a heartbeat of that server arrives late.
@@ -60,9 +60,9 @@
 #[test]
 fn a_server_that_restarts_with_its_old_id_is_a_new_incarnation_at_once() {
     let mut history = History::open(1_200);
-    history.heartbeat(at(0), &heartbeat_of("a", 5_000, 40));
+    history.heartbeat(at(0), &heartbeat_started_at("a", 5_000, 40));
 
-    let update = history.heartbeat(at(900), &heartbeat_of("a", 9_000, 1));
+    let update = history.heartbeat(at(900), &heartbeat_started_at("a", 9_000, 1));
 
     assert_eq!(update, Update::Replaced);
     let server = history.server().expect("a server runs");
@@ -75,10 +75,10 @@
 #[test]
 fn a_delayed_heartbeat_of_an_earlier_start_with_the_same_id_changes_nothing() {
     let mut history = History::open(1_200);
-    history.heartbeat(at(0), &heartbeat_of("a", 5_000, 40));
-    history.heartbeat(at(900), &heartbeat_of("a", 9_000, 1));
+    history.heartbeat(at(0), &heartbeat_started_at("a", 5_000, 40));
+    history.heartbeat(at(900), &heartbeat_started_at("a", 9_000, 1));
 
-    let update = history.heartbeat(at(1_000), &heartbeat_of("a", 5_000, 41));
+    let update = history.heartbeat(at(1_000), &heartbeat_started_at("a", 5_000, 41));
 
     assert_eq!(update, Update::Stale);
     assert_eq!(history.server().and_then(|server| server.incarnation.started_ms), Some(9_000));
@@ -89,12 +89,12 @@
 #[test]
 fn delayed_heartbeats_of_an_unknown_earlier_start_change_nothing() {
     let mut history = History::open(1_200);
-    history.heartbeat(at(0), &heartbeat_of("a", 9_000, 3));
+    history.heartbeat(at(0), &heartbeat_started_at("a", 9_000, 3));
 
-    let first = history.heartbeat(at(600), &heartbeat_of("a", 5_000, 40));
-    let second = history.heartbeat(at(610), &heartbeat_of("a", 5_000, 41));
-    let current = history.heartbeat(at(1_200), &heartbeat_of("a", 9_000, 4));
-    let third = history.heartbeat(at(1_800), &heartbeat_of("a", 5_000, 42));
+    let first = history.heartbeat(at(600), &heartbeat_started_at("a", 5_000, 40));
+    let second = history.heartbeat(at(610), &heartbeat_started_at("a", 5_000, 41));
+    let current = history.heartbeat(at(1_200), &heartbeat_started_at("a", 9_000, 4));
+    let third = history.heartbeat(at(1_800), &heartbeat_started_at("a", 5_000, 42));
 
     assert_eq!((first, second), (Update::Contested, Update::Contested));
     assert_eq!((current, third), (Update::Unchanged, Update::Contested));
@@ -106,10 +106,10 @@
 #[test]
 fn a_start_after_the_clock_was_set_back_is_accepted_with_its_second_heartbeat() {
     let mut history = History::open(1_200);
-    history.heartbeat(at(0), &heartbeat_of("a", 9_000, 40));
+    history.heartbeat(at(0), &heartbeat_started_at("a", 9_000, 40));
 
-    let first = history.heartbeat(at(500), &heartbeat_of("a", 7_000, 1));
-    let second = history.heartbeat(at(1_600), &heartbeat_of("a", 7_000, 2));
+    let first = history.heartbeat(at(500), &heartbeat_started_at("a", 7_000, 1));
+    let second = history.heartbeat(at(1_600), &heartbeat_started_at("a", 7_000, 2));
 
     assert_eq!((first, second), (Update::Contested, Update::Replaced));
     assert_eq!(history.server().and_then(|server| server.incarnation.started_ms), Some(7_000));
@@ -137,7 +137,7 @@
 #[test]
 fn a_delayed_deregistration_does_not_end_the_current_incarnation() {
     let mut history = History::open(1_200);
-    history.heartbeat(at(0), &heartbeat_of("a", 9_000, 1));
+    history.heartbeat(at(0), &heartbeat_started_at("a", 9_000, 1));
     let earlier = Incarnation { id: "a".into(), started_ms: Some(5_000) };
     let current = Incarnation { id: "a".into(), started_ms: Some(9_000) };
 
@@ -152,7 +152,7 @@
 fn a_server_whose_first_heartbeats_were_lost_is_seen_from_start() {
     let mut history = History::open(1_200);
 
-    history.heartbeat(at(9_240), &heartbeat_of("a", 9_000, 3));
+    history.heartbeat(at(9_240), &heartbeat_started_at("a", 9_000, 3));
 
     assert_eq!(history.server().map(|server| server.seen_from_start), Some(true));
 }
@@ -161,8 +161,8 @@
 /// the server's first heartbeat and forwarded the flow to it.
 #[test]
 fn a_server_that_an_earlier_process_may_have_seen_is_not_seen_from_start() {
-    let after_a_pause = heartbeat_of("a", 9_000, 2);
-    let by_a_clock_set_back = heartbeat_of("a", 12_000, 2);
+    let after_a_pause = heartbeat_started_at("a", 9_000, 2);
+    let by_a_clock_set_back = heartbeat_started_at("a", 12_000, 2);
     let of_unknown_start = heartbeat("a", 2);
 
     for beat in [after_a_pause, by_a_clock_set_back, of_unknown_start] {
--- a/crates/nutmegkeel_core/tests/l4/shortage.rs
+++ b/crates/nutmegkeel_core/tests/l4/shortage.rs
@@ -3,9 +3,9 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use nutmegkeel_core::l4::balancer::{Action, Balancer, Event};
+use nutmegkeel_core::l4::decision::{Cause, Decision};
 use nutmegkeel_core::l4::flow::Flow;
 use nutmegkeel_core::l4::message::{Admission, Load, Reason};
-use nutmegkeel_core::l4::note::{Cause, Note};
 use nutmegkeel_core::l4::policy::{Condition, Mechanism, Policy};
 use nutmegkeel_core::l4::room::{CONGESTION_TOLERANCE_MS, MAX_CALLERS, RETENTION_MS, Retries};
 
@@ -43,7 +43,7 @@
 
 pub(crate) fn refusal_cause(actions: &[Action]) -> Option<Cause> {
     actions.iter().find_map(|action| match action {
-        Action::Note(Note::Refused { cause, .. }) => Some(*cause),
+        Action::Log(Decision::Refused { cause, .. }) => Some(*cause),
         _ => None,
     })
 }
@@ -155,7 +155,7 @@
     let actions = open(&mut balancer, 5_400, flow(1));
 
     let shortage = actions.iter().find_map(|action| match action {
-        Action::Note(Note::Refused { shortage, .. }) => *shortage,
+        Action::Log(Decision::Refused { shortage, .. }) => *shortage,
         _ => None,
     });
     let shortage = shortage.expect("a refusal for lack of room");
--- a/crates/nutmegkeel_core/tests/l4/summary.rs
+++ b/crates/nutmegkeel_core/tests/l4/summary.rs
@@ -11,7 +11,8 @@
 use nutmegkeel_core::l4::route::Kind;
 
 use crate::fixture::{
-    BALANCER, DOMAIN, agent, at, desk, flow, heartbeat, host, identity, load, need, roster, word,
+    BALANCER, DOMAIN, agent, announcement, at, default_service, flow, gossip, heartbeat, host,
+    identity, load, need,
 };
 
 const REMOTE: &str = "tema";
@@ -40,7 +41,7 @@
 }
 
 fn summary(reports: Vec<Report>) -> Summary {
-    Summary { domain: REMOTE.into(), services: vec![desk()], reports, forwarded: false }
+    Summary { domain: REMOTE.into(), services: vec![default_service()], reports, forwarded: false }
 }
 
 /// Sends a pool summaries of one remote agent every 300 ms. The agent was last seen at `last_ms`.
@@ -114,7 +115,7 @@
 #[test]
 fn a_remote_agent_that_announced_itself_directly_is_not_given_up() {
     let mut pool = pool();
-    let mut direct = word(1, State::Ready, Load::default());
+    let mut direct = announcement(1, State::Ready, Load::default());
     direct.domain = REMOTE.into();
     pool.announced(at(0), host(1), direct);
 
@@ -128,7 +129,7 @@
 fn a_remote_agent_that_stops_announcing_itself_directly_is_not_given_up() {
     let mut pool = pool();
     send_summaries(&mut pool, 3_000, 3_000);
-    let mut direct = word(50, State::Ready, Load::default());
+    let mut direct = announcement(50, State::Ready, Load::default());
     direct.domain = REMOTE.into();
     pool.announced(at(3_900), host(1), direct);
 
@@ -176,7 +177,7 @@
 }
 
 fn remote_gossip() -> Gossip {
-    Gossip { domain: REMOTE.into(), ..roster(1, &[], 1) }
+    Gossip { domain: REMOTE.into(), ..gossip(1, &[], 1) }
 }
 
 /// Balancers of one failure domain that know each other, a remote balancer and one agent of their
@@ -194,11 +195,11 @@
     for (index, balancer) in balancers.iter_mut().enumerate() {
         for peer in (1..=count).filter(|peer| usize::from(*peer) != index + 1) {
             if !silent.contains(&peer) {
-                balancer.handle(at(now), Event::Gossip(host(peer), roster(1, &[], 1)));
+                balancer.handle(at(now), Event::Gossip(host(peer), gossip(1, &[], 1)));
             }
         }
         balancer.handle(at(now), Event::Gossip(REMOTE_BALANCER, remote_gossip()));
-        let announcement = word(1 + now, State::Ready, Load::default());
+        let announcement = announcement(1 + now, State::Ready, Load::default());
         balancer.handle(at(now), Event::Announced(host(99), announcement));
     }
 }
@@ -333,11 +334,11 @@
 #[test]
 fn a_leaving_balancer_still_gets_summaries() {
     let mut balancers = domain(3);
-    let leaving = Gossip { leaving: true, ..roster(1, &[], 1) };
+    let leaving = Gossip { leaving: true, ..gossip(1, &[], 1) };
     balancers[0].handle(at(10), Event::Gossip(host(2), leaving));
 
     let forwarded = balancers[0].handle(at(20), Event::Summary(summary(vec![report(1, 10)])));
-    let listed = balancers[0].handle(at(30), Event::Gossip(host(3), roster(1, &[host(2)], 1)));
+    let listed = balancers[0].handle(at(30), Event::Gossip(host(3), gossip(1, &[host(2)], 1)));
 
     let to: Vec<_> = summaries(&forwarded).into_iter().map(|(to, _)| to).collect();
     assert_eq!(to, vec![host(2), host(3)]);
@@ -380,7 +381,7 @@
 /// An agent that has received the states of a local and a remote balancer.
 fn agent_with_peers() -> agent::Agent {
     let mut agent = agent();
-    agent.handle(at(1), agent::Event::Gossip(BALANCER, roster(1, &[], 1)));
+    agent.handle(at(1), agent::Event::Gossip(BALANCER, gossip(1, &[], 1)));
     agent.handle(at(1), agent::Event::Gossip(REMOTE_BALANCER, remote_gossip()));
     agent
 }
