--- a/crates/nutmegkeel_core/src/l4/agent.rs
+++ b/crates/nutmegkeel_core/src/l4/agent.rs
@@ -327,12 +327,12 @@
         }
         let flows = self.table.open_flows();
         if let Some(server) = self.history.server()
-            && let Some(list) = self.recorder.due(now, self.agent_count, server, flows)
+            && let Some(checkpoint) = self.recorder.due(now, self.agent_count, server, flows)
         {
             if !self.uses(Mechanism::Collectors) {
-                return Some(Action::Save(list));
+                return Some(Action::Save(checkpoint));
             }
-            self.handover.begin(list);
+            self.handover.begin(checkpoint);
         }
         if !self.handover.is_pending() {
             return None;
@@ -342,8 +342,10 @@
             self.balancer_states.delegates(now, &self.identity.domain, None, timeout_ms);
         let agents = self.agents_in_domain(now);
         match self.handover.step(now, &delegates, self.reaches_store(now), agents)? {
-            Step::Delegate(balancer, list) => Some(Action::Send(balancer, Message::Deposit(list))),
-            Step::Write(list) => Some(Action::Save(list)),
+            Step::Delegate(balancer, checkpoint) => {
+                Some(Action::Send(balancer, Message::Deposit(checkpoint)))
+            }
+            Step::Write(checkpoint) => Some(Action::Save(checkpoint)),
         }
     }
 
--- a/crates/nutmegkeel_core/src/l4/agent/answer.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/answer.rs
@@ -75,7 +75,7 @@
         let mut actions = self.mark_responsive(now);
         let probe = self.probes.take(head.tag);
         if let Some(from) = probe.filter(|_| head.opens()) {
-            actions.extend(self.turned_away(from, head));
+            actions.extend(self.handle_rejected_opening(from, head));
             return actions;
         }
         if let Some(from) = probe {
@@ -99,7 +99,7 @@
     /// Guards against forgetting a flow whose opening the server accepted, while it rejected a copy
     /// of that opening because it was full by then: the client would learn that nobody holds its
     /// open flow.
-    fn turned_away(&mut self, from: Ipv4Addr, head: &Head) -> Option<Action> {
+    fn handle_rejected_opening(&mut self, from: Ipv4Addr, head: &Head) -> Option<Action> {
         match self.table.get(&head.flow)?.stage {
             Stage::Opening(None) => {
                 self.waiting.remove(&head.flow);
--- a/crates/nutmegkeel_core/src/l4/agent/speed.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/speed.rs
@@ -5,7 +5,7 @@
 use crate::l4::policy::Mechanism;
 
 /// Time within which a server without room rejects a request, in milliseconds.
-const TURNED_AWAY_MS: u64 = 3;
+const REJECTION_MS: u64 = 3;
 
 impl Agent {
     /// Records how many slots are busy from now on. Requests beyond the slots wait in the server's
@@ -21,7 +21,7 @@
     /// Guards against a full server that looks fast: it rejects what does not fit into its short
     /// queue, and each rejection would count as a request served in no time.
     pub(super) fn record_answer(&mut self, now: Time, after_ms: u64, found_slot: bool) {
-        if found_slot || after_ms > TURNED_AWAY_MS {
+        if found_slot || after_ms > REJECTION_MS {
             self.meter.record_answer(now);
         }
     }
--- a/crates/nutmegkeel_core/src/l4/checkpoint.rs
+++ b/crates/nutmegkeel_core/src/l4/checkpoint.rs
@@ -115,9 +115,9 @@
             self.saved = checkpoint;
             return Vec::new();
         }
-        let was_new = server.seen_from_start || server.first_seq <= MAX_NEW_SEQ;
-        let is_new = was_new && now.since(self.started) <= RECOVERY_MS;
-        if is_new { checkpoint.flows.into_iter().collect() } else { Vec::new() }
+        let is_new_server = server.seen_from_start || server.first_seq <= MAX_NEW_SEQ;
+        let is_lost = is_new_server && now.since(self.started) <= RECOVERY_MS;
+        if is_lost { checkpoint.flows.into_iter().collect() } else { Vec::new() }
     }
 
     /// Returns the checkpoint to write now, if one is due because too many flows are missing from
--- a/crates/nutmegkeel_core/src/l4/handover.rs
+++ b/crates/nutmegkeel_core/src/l4/handover.rs
@@ -36,7 +36,7 @@
 /// The checkpoint that is being handed over.
 #[derive(Debug, Default)]
 pub struct Handover {
-    list: Option<Checkpoint>,
+    pending: Option<Checkpoint>,
     /// Balancers that were asked, the most recent one last.
     asked: Vec<Ipv4Addr>,
     asked_at: Time,
@@ -45,15 +45,15 @@
 impl Handover {
     /// Starts the handover of a new checkpoint, which replaces an earlier one. A balancer that is
     /// processing the earlier one gets the new one too.
-    pub fn begin(&mut self, list: Checkpoint) {
-        self.list = Some(list);
+    pub fn begin(&mut self, checkpoint: Checkpoint) {
+        self.pending = Some(checkpoint);
         self.asked.clear();
     }
 
     /// Returns whether a checkpoint is being handed over.
     #[must_use]
     pub const fn is_pending(&self) -> bool {
-        self.list.is_some()
+        self.pending.is_some()
     }
 
     /// Returns the next step, if one is due. `delegates` are the balancers that write for others;
@@ -66,40 +66,40 @@
         reaches_store: bool,
         agents: u64,
     ) -> Option<Step> {
-        let list = self.list.as_ref()?;
-        let is_unreachable = !delegates.is_empty() && !reaches_store;
-        if list.flows.len() > MAX_FLOWS || (!gathers(agents) && !is_unreachable) {
-            return self.list.take().map(Step::Write);
+        let checkpoint = self.pending.as_ref()?;
+        let is_store_unreachable = !delegates.is_empty() && !reaches_store;
+        if checkpoint.flows.len() > MAX_FLOWS || (!would_batch(agents) && !is_store_unreachable) {
+            return self.pending.take().map(Step::Write);
         }
         let is_asked = !self.asked.is_empty();
         if is_asked && now.since(self.asked_at) <= CONFIRM_MS {
             return None;
         }
-        if is_unreachable {
+        if is_store_unreachable {
             self.asked.clear();
             return None;
         }
         let next = delegates.iter().find(|delegate| !self.asked.contains(delegate));
         let Some(next) = next else {
-            return self.list.take().map(Step::Write);
+            return self.pending.take().map(Step::Write);
         };
         self.asked.push(*next);
         self.asked_at = now;
-        Some(Step::Delegate(*next, list.clone()))
+        Some(Step::Delegate(*next, checkpoint.clone()))
     }
 
     /// Records that the store has a checkpoint with this number. If the number is higher than that
     /// of the pending one, a process of this host with a clock ahead of this one's wrote it, and
     /// the pending one gets the next number.
     pub fn record_saved(&mut self, number: u64) {
-        let Some(list) = &mut self.list else {
+        let Some(checkpoint) = &mut self.pending else {
             return;
         };
-        match number.cmp(&list.number) {
+        match number.cmp(&checkpoint.number) {
             std::cmp::Ordering::Less => {}
-            std::cmp::Ordering::Equal => self.list = None,
+            std::cmp::Ordering::Equal => self.pending = None,
             std::cmp::Ordering::Greater => {
-                list.number = number + 1;
+                checkpoint.number = number + 1;
                 self.asked.clear();
             }
         }
@@ -111,6 +111,6 @@
 /// With only a few agents in each failure domain, a balancer that waits for a second finds no
 /// second checkpoint. It saves no call, makes each checkpoint a second older, and is one more
 /// process whose failure costs checkpoints.
-const fn gathers(agents: u64) -> bool {
+const fn would_batch(agents: u64) -> bool {
     agents * GATHER_MS >= 2 * checkpoint::MIN_INTERVAL_MS
 }
--- a/crates/nutmegkeel_core/src/l4/server.rs
+++ b/crates/nutmegkeel_core/src/l4/server.rs
@@ -171,12 +171,12 @@
     /// Applies a deregistration; returns whether it ended the current incarnation. A deregistration
     /// without a start time applies to the current incarnation with the same identity.
     pub fn deregistered(&mut self, leaving: &Incarnation) -> bool {
-        let is_meant = |server: &Server| {
+        let is_match = |server: &Server| {
             let known = &server.incarnation;
             known.id == leaving.id
                 && (leaving.started_ms.is_none() || known.started_ms == leaving.started_ms)
         };
-        let ends = self.server.as_ref().is_some_and(is_meant);
+        let ends = self.server.as_ref().is_some_and(is_match);
         if ends && let Some(old) = self.server.take() {
             self.retire(&old);
         }
@@ -216,11 +216,11 @@
     /// the heartbeat was delayed, or the host's clock was set back. In the others, the sender is a
     /// new server at a reused address, or an unrelated process.
     fn needs_confirmation(&self, beat: &Heartbeat) -> bool {
-        let present = self.server.as_ref();
-        let known = self.retired.keys().chain(present.map(|server| &server.incarnation));
+        let current = self.server.as_ref();
+        let known = self.retired.keys().chain(current.map(|server| &server.incarnation));
         let latest = known.filter_map(|incarnation| incarnation.started_ms).max();
         let is_earlier = latest.is_some_and(|latest| beat.incarnation.started_ms < Some(latest));
-        is_earlier || present.is_some_and(|server| server.service != beat.service)
+        is_earlier || current.is_some_and(|server| server.service != beat.service)
     }
 
     /// Returns whether an unconfirmed incarnation has sent a second heartbeat at least the minimum
--- a/crates/nutmegkeel_core/tests/l4/backend.rs
+++ b/crates/nutmegkeel_core/tests/l4/backend.rs
@@ -29,8 +29,8 @@
         while self.busy.len() < SLOTS
             && let Some(head) = self.queue.pop_front()
         {
-            let takes = if now < COLD_UNTIL_MS { COLD_MS } else { WARM_MS };
-            self.busy.push((now + takes, head));
+            let duration_ms = if now < COLD_UNTIL_MS { COLD_MS } else { WARM_MS };
+            self.busy.push((now + duration_ms, head));
         }
         done.into_iter().map(|(_, head)| head).collect()
     }
--- a/crates/nutmegkeel_core/tests/l4/contended_agent.rs
+++ b/crates/nutmegkeel_core/tests/l4/contended_agent.rs
@@ -301,8 +301,8 @@
         balancer.handle(at(0), configured);
         for agent in 1..=6 {
             let full = Load { busy: 40, flows: 40, service_ms: 0 };
-            let word = word(1, State::Ready, full);
-            balancer.handle(at(2_900), balancer::Event::Announced(host(agent), word));
+            let announcement = word(1, State::Ready, full);
+            balancer.handle(at(2_900), balancer::Event::Announced(host(agent), announcement));
         }
         let head = opening(flow(1), 0);
         let mut actions = balancer.handle(at(3_000), balancer::Event::Client(head));
