--- a/crates/nutmegkeel_core/src/l4/agent.rs
+++ b/crates/nutmegkeel_core/src/l4/agent.rs
@@ -203,7 +203,7 @@
         self.balancers.len()
     }
 
-    /// Returns whether a balancer has contacted this process.
+    /// Returns whether any balancer is in contact with this process.
     #[must_use]
     pub fn has_balancer_contact(&self) -> bool {
         !self.introduced.is_empty()
@@ -278,10 +278,10 @@
         vec![Action::ToServer(self.probes.insert_query(now, flow, from, head.len > 0))]
     }
 
-    /// Reports whether the flow is here, or that only a packet of it can show this: either the
-    /// backend server has to be probed, or only an opening is here, which another server may have
-    /// accepted too. If the agent claimed such a flow, the balancer would reset the flow when the
-    /// agent dies. If it denied the flow, the balancer would not send it the packet.
+    /// Reports whether the flow is here, or that only a packet of it can show this. The latter is
+    /// so if the backend server has to be probed, or if only an opening is here, which another
+    /// server may have accepted too. If the agent claimed such a flow, the balancer would reset the
+    /// flow when the agent dies. If it denied the flow, the balancer would not send it the packet.
     fn locate(&self, now: Time, from: Ipv4Addr, flow: Flow) -> Vec<Action> {
         let load = self.load();
         if self.table.is_open(&flow) {
--- a/crates/nutmegkeel_core/src/l4/agent/balancers.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/balancers.rs
@@ -18,9 +18,9 @@
 impl Agent {
     /// Applies a balancer's state.
     ///
-    /// A balancer that leaves still forwards packets, so the agent goes on sending announcements to
-    /// it. Otherwise the balancer would consider the agent dead and reset its flows. It is removed
-    /// once no balancer lists it any more.
+    /// A balancer that leaves still forwards packets, so it keeps getting announcements. Without
+    /// them it would consider the agent dead and reset its flows. It is removed once no balancer
+    /// lists it any more.
     pub(super) fn apply_gossip(
         &mut self,
         now: Time,
@@ -63,9 +63,9 @@
     /// Announces this agent to the balancers that have not contacted it yet.
     ///
     /// Guards against backend servers that idle after a power loss. A balancer that starts after
-    /// the agent has announced itself would learn of it up to four ticks later, and in that time
-    /// all flows would go to the servers whose agents started later. A balancer answers a first
-    /// announcement at once.
+    /// the agent has announced itself would learn of it up to four ticks later, and until then all
+    /// flows would go to servers whose agents started after the balancer. A balancer answers a
+    /// first announcement at once.
     pub(super) fn introduce(&mut self, now: Time) -> Vec<Action> {
         let known = &self.introduced;
         let not_introduced: Vec<Ipv4Addr> =
--- a/crates/nutmegkeel_core/src/l4/agent/contended.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/contended.rs
@@ -53,9 +53,9 @@
 
     /// Returns the current capacity of the slots.
     ///
-    /// The service time measured by the meter is a lower bound, because the meter also works while
-    /// no slot is free. Guards against a server that became slow while it was full: at its earlier
-    /// speed clients would be admitted and wait in vain until their deadline.
+    /// The estimates are at least the service time that the meter measures, because the meter also
+    /// works while no slot is free. Guards against a server that became slow while it was full: by
+    /// the earlier estimates, clients would be admitted and wait in vain until their deadline.
     pub(super) fn capacity(&self) -> Capacity {
         let measured_us = u64::from(self.meter.service_ms()) * 1_000;
         Capacity {
--- a/crates/nutmegkeel_core/src/l4/checkpoint.rs
+++ b/crates/nutmegkeel_core/src/l4/checkpoint.rs
@@ -3,11 +3,10 @@
 //!
 //! This matters when one host or all hosts lose power. The agent and the backend server restart
 //! within seconds and know none of the earlier flows. A client that has sent a request retransmits
-//! it at growing intervals, so the next copy often arrives after its deadline, and nothing on the
-//! server's side knows of the flow before. Clients with idle flows find out one by one with their
-//! next request, each by a search of all agents, while the backlog is being processed. With the
-//! checkpoint of the agent's predecessor all of them are reset as soon as the new backend server is
-//! known.
+//! it at growing intervals, so the next copy often arrives after its deadline, and until then no
+//! process knows of the flow. Clients with idle flows find out one by one with their next request,
+//! each by a search of all agents, while the backlog is being processed. With the checkpoint of the
+//! agent's predecessor all of them are reset as soon as the new backend server is known.
 
 use std::collections::BTreeMap;
 
@@ -39,9 +38,9 @@
 /// milliseconds. No client waits longer for an answer.
 const RECOVERY_MS: u64 = 10_000;
 
-/// Highest sequence number of the first heartbeat received from a backend server that counts as new
-/// although it reports no start time. Guards against a delayed heartbeat of an earlier incarnation:
-/// it would be taken for a new server, and flows of the current one would be reset.
+/// Highest sequence number that the first received heartbeat of a new backend server may have if
+/// the server reports no start time. Guards against a delayed heartbeat of an earlier incarnation,
+/// which would look like a new server and cause resets of the current server's flows.
 const MAX_NEW_SEQ: u64 = 3;
 
 /// The open flows of one incarnation of a backend server.
--- a/crates/nutmegkeel_core/src/l4/probe.rs
+++ b/crates/nutmegkeel_core/src/l4/probe.rs
@@ -9,8 +9,8 @@
 /// Time after which a probe ends, in milliseconds. The server answers within a millisecond.
 const PROBE_TIMEOUT_MS: u64 = 1_000;
 
-/// Time after which a packet that needs an answer gets none any more, in milliseconds. A server
-/// answers within a millisecond, and the packet does not leave the host.
+/// Time after the last packet of a query within which the server must answer, in milliseconds. A
+/// server answers within a millisecond, and the packet does not leave the host.
 const UNANSWERED_MS: u64 = 150;
 
 /// Number of packets with data after which a server that holds the flow has answered. It
--- a/crates/nutmegkeel_core/src/l4/server.rs
+++ b/crates/nutmegkeel_core/src/l4/server.rs
@@ -114,7 +114,7 @@
     received_at: Time,
 }
 
-/// The current incarnation of a backend server and its earlier ones.
+/// Heartbeat history of a backend server: its current incarnation and earlier ones.
 #[derive(Debug)]
 pub struct History {
     heartbeat_ms: u64,
