--- a/crates/nutmegkeel_core/src/l4/decision.rs
+++ b/crates/nutmegkeel_core/src/l4/decision.rs
@@ -81,14 +81,14 @@
         /// Shortage that caused the refusal; `None` if every agent that was queried declined.
         shortage: Option<Shortage>,
     },
-    /// A packet is kept until the information that is needed to decide on it arrives.
+    /// A packet is kept until a change makes a decision on it possible.
     Kept {
         /// The flow.
         flow: Flow,
         /// Why it cannot be decided yet.
         cause: Cause,
     },
-    /// Agents appeared, started to take new flows again, or stopped, since the last such record.
+    /// Agents appeared, or started or stopped taking new flows, since the last such record.
     Agents {
         /// The agents that changed.
         turnover: Turnover,
--- a/crates/nutmegkeel_core/src/l4/share.rs
+++ b/crates/nutmegkeel_core/src/l4/share.rs
@@ -29,7 +29,7 @@
 /// Number of updates after which all recorded work has decayed.
 const DECAYED_AFTER: u64 = 256;
 
-/// Maximum number of tracked callers. An agent serves some hundred requests in the time that work
+/// Maximum number of tracked callers. An agent serves a few hundred requests in the time that work
 /// counts, so each caller with two requests in that time can be tracked.
 pub const MAX_CALLERS: usize = 1_024;
 
@@ -208,8 +208,8 @@
         self.domains.values_mut().for_each(|domain| domain.work.decay());
     }
 
-    /// Evicts callers with little demand, to make room for new callers. A heavy one may be among
-    /// them.
+    /// Evicts callers with little demand, and the lightest quarter if the table is full. New
+    /// callers need room, because a heavy one may be among them.
     fn evict_light(&mut self) {
         let eviction_us = self.request_us / EVICTION_DIVISOR;
         self.callers.retain(|_, caller| caller.work.requested_us > eviction_us);
--- a/crates/nutmegkeel_core/src/l4/waiting.rs
+++ b/crates/nutmegkeel_core/src/l4/waiting.rs
@@ -28,12 +28,12 @@
 pub use floor::FLOOR_EVERY;
 pub use rank::{Capacity, Timeliness};
 
-/// Under a lasting overload, the queue keeps as many requests as the slots can serve within this
-/// time, in milliseconds. Most of the objective is then left for the answer.
+/// Time that limits the queue under a lasting overload, in milliseconds. The queue keeps as many
+/// requests as the slots can serve within it. Most of the objective is then left for the answer.
 const OVERLOAD_WAIT_MS: u64 = 100;
 
-/// An overload of up to this length is expected to end by itself, in milliseconds. Where callers
-/// compete for room, the objective of a late request is used instead.
+/// Longest overload that is expected to end by itself, in milliseconds. Where callers compete for
+/// room, the objective of a late request is used instead.
 const SHORT_OVERLOAD_MS: u64 = 300;
 
 /// Time that the queue waits for the first request on an accepted opening, in milliseconds. The
@@ -175,7 +175,8 @@
         Some((waiting, request))
     }
 
-    /// Removes and returns the flows that need not wait any more, if an answer takes `answer_ms`.
+    /// Removes and returns the flows whose request has not arrived in time, or whose answer would
+    /// miss the deadline if it takes `answer_ms`.
     pub fn take_expired(&mut self, now: Time, answer_ms: u64) -> Vec<Waiting> {
         let is_expired = |waiting: &Waiting| waiting.is_expired(now, answer_ms);
         let mut expired = VecDeque::new();
@@ -225,8 +226,8 @@
         self.overloaded_since.is_none_or(|since| now.since(since) <= self.short_overload_ms)
     }
 
-    /// Records the start of an overload: the oldest request is late. The overload ends when a flow
-    /// finds the queue empty.
+    /// Records the start of an overload, which is when the oldest request is late. It ends when a
+    /// flow is added to an empty queue.
     fn update_overload(&mut self, now: Time, answer_ms: u64) {
         if self.is_contended() {
             self.update_contended_overload(now, answer_ms);
--- a/crates/nutmegkeel_core/src/l4/waiting/contended.rs
+++ b/crates/nutmegkeel_core/src/l4/waiting/contended.rs
@@ -76,10 +76,11 @@
     /// late. Among equals, callers within their share go first, then the request whose objective
     /// ends first.
     ///
-    /// The request whose objective ends last goes first instead if the overload lasts and not all
-    /// requests that can be in time now will be. Otherwise each request would be answered just
-    /// before its objective ends, or late. One in [`super::FLOOR_EVERY`] requests is of a less
-    /// urgent class.
+    /// Under a lasting overload, in which not all requests that can be in time now will be, the
+    /// request whose objective ends last goes first instead. Otherwise each request would be
+    /// answered just before its objective ends, or late.
+    ///
+    /// One in [`super::FLOOR_EVERY`] requests is taken from a less urgent class.
     pub fn pop_ranked(
         &mut self,
         now: Time,
--- a/crates/nutmegkeel_core/src/l4/waiting/rank.rs
+++ b/crates/nutmegkeel_core/src/l4/waiting/rank.rs
@@ -46,7 +46,7 @@
 pub enum Timeliness {
     /// It is in time even if it takes as long as nearly every answer does.
     InTime,
-    /// It may be late, and if the request does not go now, its deadline passes without an answer.
+    /// It may be late, and there is no answer before the deadline if the request does not go now.
     LastChance,
     /// It is in time if it takes less than nearly every answer does.
     Possible,
--- a/crates/nutmegkeel_core/tests/l4/evacuated_fleet.rs
+++ b/crates/nutmegkeel_core/tests/l4/evacuated_fleet.rs
@@ -188,7 +188,7 @@
         for action in actions {
             match action {
                 agent::Action::ToServer(_) => {
-                    let head = head.expect("a packet is at hand");
+                    let head = head.expect("a message to the server carries a packet");
                     self.opened[usize::from(number / PER_DOMAIN)] += 1;
                     let answer = accepted(head.flow, 500);
                     self.handle_at_agent(number, agent::Event::FromServer(answer), Some(answer));
--- a/crates/nutmegkeel_core/tests/l4/evacuation.rs
+++ b/crates/nutmegkeel_core/tests/l4/evacuation.rs
@@ -89,8 +89,8 @@
     assert_eq!(forwarded(&carried), Some(agent));
 }
 
-/// Guards against two servers that hold one flow: a copy of an opening that a server in an
-/// evacuated failure domain has already accepted must not go to another server.
+/// Guards against two servers that hold one flow. A server in an evacuated failure domain may have
+/// accepted the first copy of an opening, so the second copy must not go to another server.
 #[test]
 fn a_retransmitted_opening_goes_to_the_agent_that_accepted_it() {
     let mut balancer = balancer_with_two_domains();
--- a/crates/nutmegkeel_core/tests/l4/share.rs
+++ b/crates/nutmegkeel_core/tests/l4/share.rs
@@ -200,8 +200,8 @@
     assert!(lost <= 0.01, "{lost}");
 }
 
-/// Guards against lasting harm from a restart of the agent during an overload. The new process
-/// tracks no callers, so all are within their share; it must recover after the next second.
+/// Guards against lasting delays after a restart of the agent during an overload. The new process
+/// tracks no callers, so that all are within their share; it must recover after one second.
 #[test]
 fn a_restart_without_shares_recovers_within_a_second() {
     let sources = [source("osu", 200, 0.5), source("osu", 1, 5.0)];
--- a/crates/nutmegkeel_core/tests/l4/urgency.rs
+++ b/crates/nutmegkeel_core/tests/l4/urgency.rs
@@ -127,7 +127,7 @@
     for from in (2_000..10_000).step_by(1_000) {
         let both = [0, 1].map(|source| replay.count(source, from, from + 1_000, End::InTime));
         let in_time = both.iter().sum::<usize>();
-        println!("from {from} ms: {in_time} in time of {CAPACITY_PER_S} that the slots bear");
+        println!("from {from} ms: {in_time} in time of {CAPACITY_PER_S} that the slots can serve");
         assert!(in_time >= 51, "from {from} ms: {in_time}");
     }
     let after = replay.in_time(0, 11_000, 14_000);
--- a/crates/nutmegkeel_core/tests/l4/warmup.rs
+++ b/crates/nutmegkeel_core/tests/l4/warmup.rs
@@ -179,7 +179,7 @@
     let mut tried = BTreeSet::new();
 
     while let Some(from) = forwarded(&actions) {
-        assert!(tried.insert(from), "{from} is asked twice");
+        assert!(tried.insert(from), "{from} is queried twice");
         let (reason, load) = (Reason::Cold, Load::default());
         actions = balancer.handle(at(3_001), Event::Declined { from, head, reason, load });
     }
