--- a/crates/nutmegkeel_core/tests/l4/evacuated_fleet.rs
+++ b/crates/nutmegkeel_core/tests/l4/evacuated_fleet.rs
@@ -242,7 +242,7 @@
 
 fn to_balancer(from: Ipv4Addr, message: Message, head: Option<Head>) -> Option<balancer::Event> {
     Some(match message {
-        Message::Announce(word) => balancer::Event::Announced(from, word),
+        Message::Announce(announcement) => balancer::Event::Announced(from, announcement),
         Message::Roster(roster) => balancer::Event::Roster(from, roster),
         Message::Summary(summary) => balancer::Event::Summary(summary),
         Message::Orders(orders) => balancer::Event::Ordered(orders),
--- a/crates/nutmegkeel_core/tests/l4/evacuation.rs
+++ b/crates/nutmegkeel_core/tests/l4/evacuation.rs
@@ -92,7 +92,7 @@
 /// Guards against two servers that hold one flow. A server in an evacuated failure domain may have
 /// accepted the first copy of an opening, so the second copy must not go to another server.
 #[test]
-fn a_retransmitted_opening_goes_to_the_agent_that_accepted_it() {
+fn a_retransmitted_opening_goes_to_the_same_agent() {
     let mut balancer = balancer_with_two_domains();
     let first = forwarded(&balancer.handle(at(3_000), open(1)));
 
--- a/crates/nutmegkeel_core/tests/l4/fixture.rs
+++ b/crates/nutmegkeel_core/tests/l4/fixture.rs
@@ -131,8 +131,8 @@
 pub(crate) fn announce(balancer: &mut Balancer, agents: &[u8], from_ms: u64, until_ms: u64) {
     for millis in (from_ms..=until_ms).step_by(300) {
         for agent in agents {
-            let word = announcement(millis + 100, State::Ready, Load::default());
-            balancer.handle(at(millis), Event::Announced(host(*agent), word));
+            let announced = announcement(millis + 100, State::Ready, Load::default());
+            balancer.handle(at(millis), Event::Announced(host(*agent), announced));
         }
     }
 }
--- a/crates/nutmegkeel_core/tests/l4/share.rs
+++ b/crates/nutmegkeel_core/tests/l4/share.rs
@@ -238,17 +238,17 @@
             if rng.random_bool(0.4) {
                 continue;
             }
-            let Some((gone, _, standing)) = queue.pop_ranked(at(now), &IDLE, &shares) else {
+            let Some((popped, _, standing)) = queue.pop_ranked(at(now), &IDLE, &shares) else {
                 continue;
             };
-            mirror.retain(|waiting| waiting.flow != gone.flow);
-            let timeliness = Timeliness::of(at(now), &gone, &IDLE);
+            mirror.retain(|waiting| waiting.flow != popped.flow);
+            let timeliness = Timeliness::of(at(now), &popped, &IDLE);
             let is_before = |other: &Waiting| {
                 Timeliness::of(at(now), other, &IDLE) == timeliness
                     && shares.standing(*other.flow.client.ip()) < standing
             };
             assert!(!mirror.iter().any(is_before), "seed {seed}, step {step}");
-            shares.record_served(at(now), *gone.flow.client.ip(), WORK_US);
+            shares.record_served(at(now), *popped.flow.client.ip(), WORK_US);
         }
     }
 }
--- a/crates/nutmegkeel_core/tests/l4/urgency.rs
+++ b/crates/nutmegkeel_core/tests/l4/urgency.rs
@@ -201,13 +201,13 @@
             if !rng.random_bool(0.5) {
                 continue;
             }
-            let Some(gone) = next(&mut queue, now) else { continue };
-            let index = mirror.iter().position(|waiting| waiting.flow == gone).expect("it waits");
-            let gone = mirror.remove(index);
-            let timeliness = Timeliness::of(at(now), &gone, &IDLE);
+            let Some(popped) = next(&mut queue, now) else { continue };
+            let index = mirror.iter().position(|waiting| waiting.flow == popped).expect("it waits");
+            let popped = mirror.remove(index);
+            let timeliness = Timeliness::of(at(now), &popped, &IDLE);
             let is_before = |other: &Waiting| {
                 Timeliness::of(at(now), other, &IDLE) == timeliness
-                    && other.demand.urgency < gone.demand.urgency
+                    && other.demand.urgency < popped.demand.urgency
             };
             served += 1;
             passed += u32::from(mirror.iter().any(is_before));
--- a/crates/nutmegkeel_core/tests/l4/warmup.rs
+++ b/crates/nutmegkeel_core/tests/l4/warmup.rs
@@ -43,8 +43,8 @@
 /// Returns an agent whose local server is cold for two seconds.
 fn cold_agent() -> Agent {
     let mut agent = agent();
-    let beat = Heartbeat { warmup_ms: 2_000, ..heartbeat("a", 1) };
-    agent.handle(at(0), agent::Event::Heartbeat(beat));
+    let heartbeat = Heartbeat { warmup_ms: 2_000, ..heartbeat("a", 1) };
+    agent.handle(at(0), agent::Event::Heartbeat(heartbeat));
     agent
 }
 
