--- a/crates/nutmegkeel_core/tests/l4/waiting.rs
+++ b/crates/nutmegkeel_core/tests/l4/waiting.rs
@@ -5,7 +5,7 @@
 use crate::fixture::{at, data, demand, flow};
 
 /// Deadline of the requests, in milliseconds.
-const LIMIT_MS: u64 = 2_500;
+const DEADLINE_MS: u64 = 2_500;
 
 const DEMAND: Demand = demand(false);
 
@@ -54,7 +54,7 @@
     queue.push(waiting(2, 0));
 
     let newest = next(&mut queue, 1_200);
-    let late = queue.take_expired(at(LIMIT_MS + 1), 0);
+    let late = queue.take_expired(at(DEADLINE_MS + 1), 0);
 
     assert_eq!(newest, Some(1));
     assert_eq!(ports(&late), [2]);
@@ -79,8 +79,8 @@
     let mut queue = Queue::open(&Policy::default());
     queue.push(waiting(1, 0));
 
-    let early = queue.take_expired(at(LIMIT_MS - 100), 100);
-    let late = queue.take_expired(at(LIMIT_MS - 99), 100);
+    let early = queue.take_expired(at(DEADLINE_MS - 100), 100);
+    let late = queue.take_expired(at(DEADLINE_MS - 99), 100);
 
     assert_eq!((early.len(), late.len()), (0, 1));
 }
