--- a/crates/nutmegkeel_core/tests/l4/evacuated_fleet.rs
+++ b/crates/nutmegkeel_core/tests/l4/evacuated_fleet.rs
@@ -192,7 +192,7 @@
         for action in actions {
             match action {
                 agent::Action::ToServer(_) => {
-                    let head = head.expect("a packet is at hand");
+                    let head = head.expect("a message to the server carries a packet");
                     self.opened[usize::from(number / PER_DOMAIN)] += 1;
                     let answer = accepted(head.flow, 500);
                     self.handle_at_agent(number, agent::Event::FromServer(answer), Some(answer));
@@ -246,7 +246,7 @@
 
 fn to_balancer(from: Ipv4Addr, message: Message, head: Option<Head>) -> Option<balancer::Event> {
     Some(match message {
-        Message::Announce(word) => balancer::Event::Announced(from, word),
+        Message::Announce(announcement) => balancer::Event::Announced(from, announcement),
         Message::Gossip(roster) => balancer::Event::Gossip(from, roster),
         Message::Summary(summary) => balancer::Event::Summary(summary),
         Message::Orders(orders) => balancer::Event::Ordered(orders),
--- a/crates/nutmegkeel_core/tests/l4/share.rs
+++ b/crates/nutmegkeel_core/tests/l4/share.rs
@@ -200,8 +200,8 @@
     assert!(lost <= 0.01, "{lost}");
 }
 
-/// Guards against lasting harm from a restart of the agent during an overload. The new process
-/// tracks no callers, so all are within their share; it must recover after the next second.
+/// Guards against lasting delays after a restart of the agent during an overload. The new process
+/// tracks no callers, so that all are within their share; it must recover after one second.
 #[test]
 fn a_restart_without_shares_recovers_within_a_second() {
     let sources = [source("osu", 200, 0.5), source("osu", 1, 5.0)];
@@ -238,17 +238,17 @@
             if rng.random_bool(0.4) {
                 continue;
             }
-            let Some((gone, _, standing)) = queue.pop_ranked(at(now), &IDLE, &shares) else {
+            let Some((popped, _, standing)) = queue.pop_ranked(at(now), &IDLE, &shares) else {
                 continue;
             };
-            mirror.retain(|waiting| waiting.flow != gone.flow);
-            let timeliness = Timeliness::of(at(now), &gone, &IDLE);
+            mirror.retain(|waiting| waiting.flow != popped.flow);
+            let timeliness = Timeliness::of(at(now), &popped, &IDLE);
             let is_before = |other: &Waiting| {
                 Timeliness::of(at(now), other, &IDLE) == timeliness
                     && shares.standing(*other.flow.client.ip()) < standing
             };
             assert!(!mirror.iter().any(is_before), "seed {seed}, step {step}");
-            shares.record_served(at(now), *gone.flow.client.ip(), WORK_US);
+            shares.record_served(at(now), *popped.flow.client.ip(), WORK_US);
         }
     }
 }
--- a/crates/nutmegkeel_core/tests/l4/urgency.rs
+++ b/crates/nutmegkeel_core/tests/l4/urgency.rs
@@ -127,7 +127,7 @@
     for from in (2_000..10_000).step_by(1_000) {
         let both = [0, 1].map(|source| replay.count(source, from, from + 1_000, End::InTime));
         let in_time = both.iter().sum::<usize>();
-        println!("from {from} ms: {in_time} in time of {CAPACITY_PER_S} that the slots bear");
+        println!("from {from} ms: {in_time} in time of {CAPACITY_PER_S} that the slots can serve");
         assert!(in_time >= 51, "from {from} ms: {in_time}");
     }
     let after = replay.in_time(0, 11_000, 14_000);
@@ -201,13 +201,13 @@
             if !rng.random_bool(0.5) {
                 continue;
             }
-            let Some(gone) = next(&mut queue, now) else { continue };
-            let index = mirror.iter().position(|waiting| waiting.flow == gone).expect("it waits");
-            let gone = mirror.remove(index);
-            let timeliness = Timeliness::of(at(now), &gone, &IDLE);
+            let Some(popped) = next(&mut queue, now) else { continue };
+            let index = mirror.iter().position(|waiting| waiting.flow == popped).expect("it waits");
+            let popped = mirror.remove(index);
+            let timeliness = Timeliness::of(at(now), &popped, &IDLE);
             let is_before = |other: &Waiting| {
                 Timeliness::of(at(now), other, &IDLE) == timeliness
-                    && other.demand.urgency < gone.demand.urgency
+                    && other.demand.urgency < popped.demand.urgency
             };
             served += 1;
             passed += u32::from(mirror.iter().any(is_before));
