--- a/crates/nutmegkeel_node/src/l4/balancer.rs
+++ b/crates/nutmegkeel_node/src/l4/balancer.rs
@@ -352,8 +352,8 @@
         fetch
     }
 
-    /// Handles an event with its packet, which was received at `received_at`. Returns the process to fetch a
-    /// configuration from, and the kept packets that were recalled.
+    /// Handles an event with its packet, which was received at `received_at`. Returns the process
+    /// to fetch a configuration from, and the kept packets that were recalled.
     fn handle_one(
         &self,
         now: Time,
--- a/crates/nutmegkeel_node/src/l4/configuration/watch.rs
+++ b/crates/nutmegkeel_node/src/l4/configuration/watch.rs
@@ -69,8 +69,8 @@
     pub(in crate::l4) orders: Option<Orders>,
 }
 
-/// Starts the thread that watches the store while `delegate` returns a delegate, passes every update
-/// to `apply`, and reports to `answered` whether the store answers.
+/// Starts the thread that watches the store while `delegate` returns a delegate, passes every
+/// update to `apply`, and reports to `answered` whether the store answers.
 ///
 /// # Errors
 /// When the thread cannot be started.
--- a/crates/nutmegkeel_node/src/l4/decision_log.rs
+++ b/crates/nutmegkeel_node/src/l4/decision_log.rs
@@ -313,7 +313,8 @@
         Decision::Spared { level, abroad } => write_spared(level, *abroad),
         Decision::Balancers { changes, known } => {
             info!(event = "balancers", known = known, appeared = changes.appeared.len(),
-                left = changes.closed.len(), which = names_if_few(changes.all()); "balancers changed");
+                left = changes.closed.len(), which = names_if_few(changes.all());
+                "balancers changed");
         }
         Decision::Accepted { flow, load } => {
             info!(event = "accepted", flow:% = flow, busy = load.busy, flows = load.flows;
--- a/crates/nutmegkeel_node/src/l4/kept.rs
+++ b/crates/nutmegkeel_node/src/l4/kept.rs
@@ -31,8 +31,8 @@
         Self { packets: BTreeMap::new(), ttl_ms }
     }
 
-    /// Keeps a packet that was received at `received_at`; returns false if there is no room. A packet
-    /// without data does not replace one with data.
+    /// Keeps a packet that was received at `received_at`; returns false if there is no room. A
+    /// packet without data does not replace one with data.
     pub(super) fn keep(&mut self, now: Time, received_at: Time, head: Head, bytes: &[u8]) -> bool {
         if self.packets.len() >= MAX_FLOWS {
             let ttl_ms = self.ttl_ms;
