--- a/crates/nutmegkeel_node/src/administration.rs
+++ b/crates/nutmegkeel_node/src/administration.rs
@@ -26,13 +26,13 @@
 use api::{Class, Outcome, Process, SetClass, Status};
 
 /// Timeout of a change that the platform has not settled, in milliseconds.
-const CHANGE_WITHIN_MS: u64 = 5_000;
+const CHANGE_TIMEOUT_MS: u64 = 5_000;
 /// Interval between two drain requests.
-const DRAIN_AGAIN: Duration = Duration::from_millis(250);
+const DRAIN_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum number of drain requests.
-const DRAIN_TIMES: usize = 12;
+const MAX_DRAIN_ATTEMPTS: usize = 12;
 /// JSON-RPC error code for invalid parameters.
-const OUT_OF_RANGE: i32 = -32_602;
+const INVALID_PARAMS: i32 = -32_602;
 
 /// A running administration API.
 pub(crate) struct Handle {
@@ -57,7 +57,7 @@
     let module = module(shared).map_err(std::io::Error::other)?;
     let server = runtime.block_on(async {
         let guard = tower::ServiceBuilder::new()
-            .layer(ValidateRequestHeaderLayer::custom(Guard::open(token)));
+            .layer(ValidateRequestHeaderLayer::custom(Authorizer::open(token)));
         let server = Server::builder().set_http_middleware(guard).build(address).await?;
         Ok::<_, std::io::Error>(server.start(module))
     })?;
@@ -66,17 +66,17 @@
 
 /// Refuses calls without the token.
 #[derive(Clone)]
-struct Guard {
+struct Authorizer {
     expected: Arc<str>,
 }
 
-impl Guard {
+impl Authorizer {
     fn open(token: &str) -> Self {
         Self { expected: format!("Bearer {token}").into() }
     }
 }
 
-impl<B> ValidateRequest<B> for Guard {
+impl<B> ValidateRequest<B> for Authorizer {
     type ResponseBody = HttpBody;
 
     fn validate(&mut self, request: &mut Request<B>) -> Result<(), Response<HttpBody>> {
@@ -147,10 +147,10 @@
     let faults = request.target.as_ref().map(nutmegkeel_core::class::Target::faults);
     if let Some(faults) = faults.filter(|faults| !faults.is_empty()) {
         let texts: Vec<String> = faults.iter().map(ToString::to_string).collect();
-        return Err(ErrorObjectOwned::owned(OUT_OF_RANGE, texts.join("; "), None::<()>));
+        return Err(ErrorObjectOwned::owned(INVALID_PARAMS, texts.join("; "), None::<()>));
     }
     let class = request.class.clone();
-    let deadline = shared.now().after(CHANGE_WITHIN_MS);
+    let deadline = shared.now().after(CHANGE_TIMEOUT_MS);
     let wait = |millis| std::thread::sleep(Duration::from_millis(millis));
     let ended = classes::change(shared.platform(), request, deadline, || shared.now(), wait);
     info!(event = "class_change", class = &*class, ended:? = ended; "change of a class ended");
@@ -181,14 +181,14 @@
 
 /// Requests a process to leave, again and again until its record shows that it does.
 fn drain(shared: &Shared, address: SocketAddr) -> Outcome {
-    let Some(hop) = living(shared, address).map(|(hop, _)| hop) else {
+    let Some(hop) = find_living(shared, address).map(|(hop, _)| hop) else {
         let message = format!("no living process is known at {address}");
         return Outcome { verdict: Verdict::NotRun, message, revision: None };
     };
-    for _ in 0..DRAIN_TIMES {
+    for _ in 0..MAX_DRAIN_ATTEMPTS {
         shared.handle(Event::Drain(hop));
-        std::thread::sleep(DRAIN_AGAIN);
-        let leaves = living(shared, address)
+        std::thread::sleep(DRAIN_RETRY_INTERVAL);
+        let leaves = find_living(shared, address)
             .is_none_or(|(now, phase)| now.instance != hop.instance || phase >= Phase::Leaving);
         if leaves {
             let message = format!("{address} takes no new flows");
@@ -199,7 +199,7 @@
     Outcome { verdict: Verdict::MayHaveRun, message, revision: None }
 }
 
-fn living(shared: &Shared, address: SocketAddr) -> Option<(Hop, Phase)> {
+fn find_living(shared: &Shared, address: SocketAddr) -> Option<(Hop, Phase)> {
     let core = shared.core();
     let mut living = core.peer().membership().living();
     let rumor = living.find(|rumor| rumor.record.address == address)?;
--- a/crates/nutmegkeel_node/src/agent.rs
+++ b/crates/nutmegkeel_node/src/agent.rs
@@ -31,9 +31,9 @@
 use shared::Shared;
 
 /// Interval between two ticks of the core.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Interval between two checks whether to stop while the announcement is awaited.
-const WAKE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Call that the agent's HTTP server received.
 enum Notice {
@@ -110,14 +110,14 @@
             if stop() {
                 return Ok(None);
             }
-            if let Ok(Notice::Announced(announcement)) = self.notices.recv_timeout(WAKE) {
+            if let Ok(Notice::Announced(announcement)) = self.notices.recv_timeout(POLL_INTERVAL) {
                 break announcement;
             }
         };
         let handle = serve(&self.settings, &announcement, self.web)?;
         let shared = Arc::clone(&handle.shared);
         let notices = self.notices;
-        start("notices", move || heed(&shared, &notices))?;
+        spawn_thread("notices", move || handle_notices(&shared, &notices))?;
         Ok(Some(handle))
     }
 }
@@ -150,25 +150,25 @@
     let endpoint = transport::open(settings, &shared)?;
     drop(entered);
     runtime.spawn(flow::accept_all(Arc::clone(&shared), endpoint));
-    runtime.spawn(keep_time(Arc::clone(&shared)));
+    runtime.spawn(run_ticks(Arc::clone(&shared)));
     let store = etcd::Client::open(&settings.common.platform);
     let claims = Arc::clone(&shared);
-    start("claims", move || claims::write_all(&claims, &store))?;
+    spawn_thread("claims", move || claims::write_all(&claims, &store))?;
     shared.handle(Event::Announced(announcement.capacity()));
     info!(event = "agent_started", class = &*announcement.class,
         backend:display = announcement.address; "agent started");
     Ok(Handle { shared, _web: web, _runtime: runtime })
 }
 
-async fn keep_time(shared: Arc<Shared>) {
-    let mut interval = tokio::time::interval(TICK);
+async fn run_ticks(shared: Arc<Shared>) {
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     loop {
         interval.tick().await;
         shared.handle(Event::Tick);
     }
 }
 
-fn heed(shared: &Shared, notices: &Receiver<Notice>) {
+fn handle_notices(shared: &Shared, notices: &Receiver<Notice>) {
     while let Ok(notice) = notices.recv() {
         match notice {
             Notice::Announced(announcement) => {
@@ -179,7 +179,7 @@
     }
 }
 
-fn start(name: &str, body: impl FnOnce() + Send + 'static) -> Result<(), Fault> {
+fn spawn_thread(name: &str, body: impl FnOnce() + Send + 'static) -> Result<(), Fault> {
     let thread = thread::Builder::new().name(name.to_owned());
     thread.spawn(body).map(drop).map_err(Fault::Start)
 }
--- a/crates/nutmegkeel_node/src/agent/announcement.rs
+++ b/crates/nutmegkeel_node/src/agent/announcement.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 
 /// Maximum number of slots, and of connections, that is plausible for one backend server.
-const MOST: u32 = 1_000_000;
+const MAX_CAPACITY: u32 = 1_000_000;
 
 /// The body of `POST /announce`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
@@ -34,13 +34,15 @@
     let announcement: Announcement = serde_json::from_slice(body).map_err(|error| {
         format!(
             "announcement: {error}; allowed: {{\"class\": NAME, \"address\": \"IP:PORT\", \
-             \"slots\": 1 to {MOST}, \"connections\": 1 to {MOST}}}"
+             \"slots\": 1 to {MAX_CAPACITY}, \"connections\": 1 to {MAX_CAPACITY}}}"
         )
     })?;
     let counts = [("slots", announcement.slots), ("connections", announcement.connections)];
     for (field, count) in counts {
-        if count == 0 || count > MOST {
-            return Err(format!("announcement: `{field}` is {count}; allowed: 1 to {MOST}"));
+        if count == 0 || count > MAX_CAPACITY {
+            return Err(format!(
+                "announcement: `{field}` is {count}; allowed: 1 to {MAX_CAPACITY}"
+            ));
         }
     }
     Ok(announcement)
--- a/crates/nutmegkeel_node/src/agent/backend.rs
+++ b/crates/nutmegkeel_node/src/agent/backend.rs
@@ -16,7 +16,7 @@
 pub(super) type Body = BoxBody<Bytes, std::io::Error>;
 
 /// Maximum time for the backend server to accept a connection; it runs on the same host.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why the backend server did not answer.
 #[derive(Debug, thiserror::Error)]
@@ -27,14 +27,14 @@
     /// The connection failed, or the answer was not valid HTTP/1.1, after something may have been
     /// sent.
     #[error("connection to the backend server failed: {0}")]
-    BrokeOff(hyper::Error),
+    Interrupted(hyper::Error),
 }
 
 impl Fault {
     pub(super) const fn verdict(&self) -> Verdict {
         match self {
             Self::NotReached(_) => Verdict::NotRun,
-            Self::BrokeOff(_) => Verdict::MayHaveRun,
+            Self::Interrupted(_) => Verdict::MayHaveRun,
         }
     }
 }
@@ -47,13 +47,13 @@
 
 /// Connects to the backend server.
 pub(super) async fn connect(address: SocketAddr) -> Result<Ready, Fault> {
-    let connected = tokio::time::timeout(CONNECT, TcpStream::connect(address)).await;
+    let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connected
         .unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
         .map_err(Fault::NotReached)?;
-    let shaken = http1::handshake(TokioIo::new(stream)).await;
+    let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, connection) =
-        shaken.map_err(|error| Fault::NotReached(std::io::Error::other(error)))?;
+        handshake.map_err(|error| Fault::NotReached(std::io::Error::other(error)))?;
     tokio::spawn(connection);
     Ok(Ready { sender })
 }
@@ -64,6 +64,6 @@
         mut self,
         request: Request<Body>,
     ) -> Result<Response<Incoming>, Fault> {
-        self.sender.send_request(request).await.map_err(Fault::BrokeOff)
+        self.sender.send_request(request).await.map_err(Fault::Interrupted)
     }
 }
--- a/crates/nutmegkeel_node/src/agent/flow.rs
+++ b/crates/nutmegkeel_node/src/agent/flow.rs
@@ -22,9 +22,9 @@
 const NO_ERROR: quinn::VarInt = quinn::VarInt::from_u32(0x100);
 /// Maximum duration of a handshake. Without this limit, a caller that opens a flow and then sends
 /// nothing would keep a leaving agent from ending until the idle timeout.
-const OPEN_WITHIN: Duration = Duration::from_secs(5);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time that a caller has to react to GOAWAY before a leaving agent closes its idle flow.
-const GOODBYE: Duration = Duration::from_millis(500);
+const GOAWAY_GRACE: Duration = Duration::from_millis(500);
 
 /// Accepts flows until the endpoint closes.
 pub(super) async fn accept_all(shared: Arc<Shared>, endpoint: Endpoint) {
@@ -41,11 +41,11 @@
 }
 
 /// Counts a flow as open until it is dropped.
-struct Counted {
+struct Guard {
     shared: Arc<Shared>,
 }
 
-impl Counted {
+impl Guard {
     fn open(shared: Arc<Shared>) -> Self {
         shared.handle(Event::FlowOpened);
         gauge!(metric::FLOWS, "class" => shared.class.to_string()).increment(1);
@@ -53,7 +53,7 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for Guard {
     fn drop(&mut self) {
         self.shared.handle(Event::FlowClosed);
         gauge!(metric::FLOWS, "class" => self.shared.class.to_string()).decrement(1);
@@ -61,11 +61,11 @@
 }
 
 async fn serve(shared: Arc<Shared>, incoming: Incoming) {
-    let _counted = Counted::open(Arc::clone(&shared));
+    let _guard = Guard::open(Arc::clone(&shared));
     let Ok(connecting) = incoming.accept() else {
         return;
     };
-    let Ok(Ok(transport)) = tokio::time::timeout(OPEN_WITHIN, connecting).await else {
+    let Ok(Ok(transport)) = tokio::time::timeout(HANDSHAKE_TIMEOUT, connecting).await else {
         return;
     };
     let opened = h3::server::Connection::new(h3_quinn::Connection::new(transport.clone())).await;
@@ -83,7 +83,7 @@
 async fn answer_all(shared: &Arc<Shared>, mut connection: Connection) {
     let mut phases = shared.phases();
     let mut requests = JoinSet::new();
-    let mut said_goodbye = false;
+    let mut sent_goaway = false;
     loop {
         tokio::select! {
             accepted = connection.accept() => match accepted {
@@ -97,24 +97,24 @@
                     break;
                 }
             },
-            () = leaving(&mut phases), if !said_goodbye => {
-                said_goodbye = true;
+            () = wait_for_leaving(&mut phases), if !sent_goaway => {
+                sent_goaway = true;
                 if connection.shutdown(0).await.is_err() {
                     break;
                 }
             }
-            () = idle(&mut requests), if said_goodbye => break,
+            () = wait_until_idle(&mut requests), if sent_goaway => break,
         }
     }
     while requests.join_next().await.is_some() {}
 }
 
-async fn leaving(phases: &mut watch::Receiver<Phase>) {
+async fn wait_for_leaving(phases: &mut watch::Receiver<Phase>) {
     // The sender lives as long as the agent.
     let _ = phases.wait_for(|phase| *phase >= Phase::Leaving).await;
 }
 
-async fn idle(requests: &mut JoinSet<()>) {
+async fn wait_until_idle(requests: &mut JoinSet<()>) {
     while requests.join_next().await.is_some() {}
-    tokio::time::sleep(GOODBYE).await;
+    tokio::time::sleep(GOAWAY_GRACE).await;
 }
--- a/crates/nutmegkeel_node/src/agent/request.rs
+++ b/crates/nutmegkeel_node/src/agent/request.rs
@@ -23,7 +23,7 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 use super::backend::{self, Body, Ready};
-use super::shared::{Go, Shared};
+use super::shared::{Reply, Shared};
 use crate::metric;
 
 type Resolver = h3::server::RequestResolver<h3_quinn::Connection, Bytes>;
@@ -38,13 +38,13 @@
 const DEADLINE: &str = "nutmegkeel-deadline-ms";
 /// Maximum number of parts of a request body that wait for the backend server; bounds memory per
 /// flow.
-const BODY_PARTS: usize = 4;
+const BODY_CHANNEL_CAPACITY: usize = 4;
 /// Maximum length of a short answer, in bytes. A longer answer, or one of unknown length, releases
 /// its slot when its head has arrived: from then on it uses a connection, but none of the backend
 /// server's capacity for requests.
-const SHORT_ANSWER: u64 = 1024 * 1024;
+const MAX_SHORT_ANSWER_BYTES: u64 = 1024 * 1024;
 /// Time after which to try again after a fault that may be over soon, in milliseconds.
-const SOON_MS: u64 = 1_000;
+const RETRY_AFTER_MS: u64 = 1_000;
 
 /// An error response from the agent itself.
 struct Refusal {
@@ -83,17 +83,17 @@
         return;
     };
     let (mut answering, mut receiving) = stream.split();
-    let mut work = Work::open(Arc::clone(&shared), &head);
-    match work.prepare(&head).await {
+    let mut admission = Admission::open(Arc::clone(&shared), &head);
+    match admission.prepare(&head).await {
         Ok(ready) if has_no_body(&head) => {
             let sent = send_idempotent(&shared, &head, ready).await;
-            pass_on(&shared, work, sent, &mut answering, arrived).await;
+            forward_answer(&shared, admission, sent, &mut answering, arrived).await;
             end_receiving(&mut receiving);
         }
         Ok(ready) => {
             let request = to_backend(&shared, &head, stream_body(receiving));
             let sent = ready.send(request).await;
-            pass_on(&shared, work, sent, &mut answering, arrived).await;
+            forward_answer(&shared, admission, sent, &mut answering, arrived).await;
         }
         Err(refusal) => {
             refuse(&shared, &mut answering, refusal, arrived).await;
@@ -126,9 +126,9 @@
 }
 
 /// Forwards the backend server's answer, or sends an error response if there is none.
-async fn pass_on(
+async fn forward_answer(
     shared: &Shared,
-    mut work: Work,
+    mut admission: Admission,
     sent: Result<Response<Incoming>, backend::Fault>,
     answering: &mut Answering,
     arrived: Instant,
@@ -136,11 +136,11 @@
     match sent {
         Ok(response) => {
             record(shared, Verdict::Ran, arrived);
-            work.relay(response, answering).await;
+            admission.stream_answer(response, answering).await;
         }
         Err(fault) => {
-            work.shed = true;
-            refuse(shared, answering, broke_off(&fault), arrived).await;
+            admission.shed = true;
+            refuse(shared, answering, refusal_for(&fault), arrived).await;
         }
     }
 }
@@ -157,21 +157,21 @@
 }
 
 /// A request that the core counts until this value is dropped.
-struct Work {
+struct Admission {
     shared: Arc<Shared>,
     id: Id,
-    told: Option<oneshot::Receiver<Go>>,
+    reply: Option<oneshot::Receiver<Reply>>,
     stage: Stage,
     shed: bool,
 }
 
-impl Work {
+impl Admission {
     fn open(shared: Arc<Shared>, head: &Request<()>) -> Self {
         let id = shared.next_id();
-        let told = shared.wait(id);
+        let reply = shared.wait(id);
         let allowed = deadline_ms(&shared, head.headers());
         shared.handle(Event::Request(id, shared.now().after(allowed)));
-        Self { shared, id, told: Some(told), stage: Stage::Waiting, shed: false }
+        Self { shared, id, reply: Some(reply), stage: Stage::Waiting, shed: false }
     }
 
     /// Waits for a slot, connects, and claims the key if there is one.
@@ -184,7 +184,7 @@
             Ok(ready) => ready,
             Err(_) => {
                 self.shed = true;
-                return Err(Refusal::not_run("the backend server is not there\n", SOON_MS));
+                return Err(Refusal::not_run("the backend server is not there\n", RETRY_AFTER_MS));
             }
         };
         if let Some(key) = key_to_claim(head) {
@@ -195,47 +195,49 @@
 
     async fn start(&mut self) -> Result<(), Refusal> {
         let began = Instant::now();
-        match self.told().await {
-            Go::Start => {
+        match self.receive_reply().await {
+            Reply::Start => {
                 self.stage = Stage::Started;
                 histogram!(metric::WAIT_SECONDS, "class" => self.shared.class.to_string())
                     .record(began.elapsed().as_secs_f64());
                 Ok(())
             }
-            Go::Refuse(reason, after_ms) => {
+            Reply::Refuse(reason, after_ms) => {
                 self.stage = Stage::Over;
                 Err(Refusal::of(reason, after_ms))
             }
-            Go::Run | Go::Unclaimed | Go::ClaimedBefore => Err(Refusal::not_run("lost\n", SOON_MS)),
+            Reply::Run | Reply::Unclaimed | Reply::ClaimedBefore => {
+                Err(Refusal::not_run("lost\n", RETRY_AFTER_MS))
+            }
         }
     }
 
     async fn claim(&mut self, key: &[u8]) -> Result<(), Refusal> {
-        self.told = Some(self.shared.wait(self.id));
+        self.reply = Some(self.shared.wait(self.id));
         let name = claim::Name::of(&self.shared.class, key);
         self.shared.handle(Event::Claim(self.id, name));
-        match self.told().await {
-            Go::Run => Ok(()),
-            Go::ClaimedBefore => Err(Refusal::may_have_run(
+        match self.receive_reply().await {
+            Reply::Run => Ok(()),
+            Reply::ClaimedBefore => Err(Refusal::may_have_run(
                 StatusCode::CONFLICT,
                 "a request with this Idempotency-Key was sent before and may have run\n",
             )),
-            Go::Unclaimed | Go::Start | Go::Refuse(..) => {
-                Err(Refusal::not_run("the key could not be claimed now\n", SOON_MS))
+            Reply::Unclaimed | Reply::Start | Reply::Refuse(..) => {
+                Err(Refusal::not_run("the key could not be claimed now\n", RETRY_AFTER_MS))
             }
         }
     }
 
-    async fn told(&mut self) -> Go {
-        let unavailable = Go::Refuse(Reason::Unavailable, SOON_MS);
-        match self.told.take() {
-            Some(told) => told.await.unwrap_or(unavailable),
+    async fn receive_reply(&mut self) -> Reply {
+        let unavailable = Reply::Refuse(Reason::Unavailable, RETRY_AFTER_MS);
+        match self.reply.take() {
+            Some(reply) => reply.await.unwrap_or(unavailable),
             None => unavailable,
         }
     }
 
     /// Streams the backend server's answer to the caller, as fast as the caller reads it.
-    async fn relay(mut self, response: Response<Incoming>, answering: &mut Answering) {
+    async fn stream_answer(mut self, response: Response<Incoming>, answering: &mut Answering) {
         let (mut head, mut body) = response.into_parts();
         self.shed = head.status == StatusCode::SERVICE_UNAVAILABLE;
         if !is_short(&head.headers) {
@@ -273,7 +275,7 @@
     }
 }
 
-impl Drop for Work {
+impl Drop for Admission {
     /// Releases the slot or the place in the queue, also when the caller disconnected and the task
     /// that owns this value was dropped.
     fn drop(&mut self) {
@@ -309,7 +311,7 @@
 
 fn is_short(headers: &HeaderMap) -> bool {
     let length = headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok()?.parse().ok());
-    length.is_some_and(|length: u64| length <= SHORT_ANSWER)
+    length.is_some_and(|length: u64| length <= MAX_SHORT_ANSWER_BYTES)
 }
 
 /// Removes the headers that apply to a single connection (RFC 9110, section 7.6.1).
@@ -344,7 +346,7 @@
 
 /// Streams the request's body as it arrives. A slow backend server slows the caller down.
 fn stream_body(mut receiving: Receiving) -> Body {
-    let (parts, received) = mpsc::channel(BODY_PARTS);
+    let (parts, received) = mpsc::channel(BODY_CHANNEL_CAPACITY);
     tokio::spawn(async move {
         loop {
             let part = match receiving.recv_data().await {
@@ -363,9 +365,9 @@
     BodyExt::boxed(StreamBody::new(ReceiverStream::new(received)))
 }
 
-fn broke_off(fault: &backend::Fault) -> Refusal {
+fn refusal_for(fault: &backend::Fault) -> Refusal {
     match fault.verdict() {
-        Verdict::NotRun => Refusal::not_run("the backend server is not there\n", SOON_MS),
+        Verdict::NotRun => Refusal::not_run("the backend server is not there\n", RETRY_AFTER_MS),
         Verdict::MayHaveRun | Verdict::Ran => Refusal::may_have_run(
             StatusCode::BAD_GATEWAY,
             "the backend server broke off; the request may have run\n",
--- a/crates/nutmegkeel_node/src/agent/shared.rs
+++ b/crates/nutmegkeel_node/src/agent/shared.rs
@@ -32,7 +32,7 @@
 
 /// Decision of the core for a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Go {
+pub(super) enum Reply {
     /// The request starts.
     Start,
     /// The request was refused and has not run; the caller may try again after this time in
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub(super) struct Shared {
     core: Mutex<Core>,
-    waiting: Mutex<BTreeMap<Id, oneshot::Sender<Go>>>,
+    waiting: Mutex<BTreeMap<Id, oneshot::Sender<Reply>>>,
     claims: Sender<Vec<Claim>>,
     claim_groups: Mutex<Option<Receiver<Vec<Claim>>>>,
     phase: watch::Sender<Phase>,
@@ -150,41 +150,41 @@
     pub(super) fn handle(&self, event: Event) {
         let actions = self.core().handle(self.now(), event);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
     /// Registers a request for the next decision of the core on it.
-    pub(super) fn wait(&self, id: Id) -> oneshot::Receiver<Go> {
-        let (tell, told) = oneshot::channel();
-        self.waiting().insert(id, tell);
-        told
+    pub(super) fn wait(&self, id: Id) -> oneshot::Receiver<Reply> {
+        let (sender, receiver) = oneshot::channel();
+        self.waiting().insert(id, sender);
+        receiver
     }
 
     pub(super) fn stop_waiting(&self, id: Id) {
         self.waiting().remove(&id);
     }
 
-    fn waiting(&self) -> MutexGuard<'_, BTreeMap<Id, oneshot::Sender<Go>>> {
+    fn waiting(&self) -> MutexGuard<'_, BTreeMap<Id, oneshot::Sender<Reply>>> {
         lock(&self.waiting)
     }
 
-    fn tell(&self, id: Id, go: Go) {
-        if let Some(tell) = self.waiting().remove(&id) {
+    fn reply(&self, id: Id, reply: Reply) {
+        if let Some(sender) = self.waiting().remove(&id) {
             // The request may have been dropped already. Its guard reports that to the core.
-            let _ = tell.send(go);
+            let _ = sender.send(reply);
         }
     }
 
-    fn act(&self, action: Action) {
+    fn execute(&self, action: Action) {
         match action {
-            Action::Decided(Decision::Start(id)) => self.tell(id, Go::Start),
+            Action::Decided(Decision::Start(id)) => self.reply(id, Reply::Start),
             Action::Decided(Decision::Refuse(id, reason, after)) => {
-                self.tell(id, Go::Refuse(reason, after));
+                self.reply(id, Reply::Refuse(reason, after));
             }
-            Action::Settled(Settled::Run(id)) => self.tell(id, Go::Run),
-            Action::Settled(Settled::NotRun(id)) => self.tell(id, Go::Unclaimed),
-            Action::Settled(Settled::MayHaveRun(id)) => self.tell(id, Go::ClaimedBefore),
+            Action::Settled(Settled::Run(id)) => self.reply(id, Reply::Run),
+            Action::Settled(Settled::NotRun(id)) => self.reply(id, Reply::Unclaimed),
+            Action::Settled(Settled::MayHaveRun(id)) => self.reply(id, Reply::ClaimedBefore),
             Action::Write(claims) => {
                 // The writer ends only with the process.
                 let _ = self.claims.send(claims);
@@ -194,12 +194,12 @@
                     "agent entered a phase of its life cycle");
                 self.phase.send_replace(phase);
             }
-            Action::Peer(action) => self.act_for_peer(action),
+            Action::Peer(action) => self.execute_peer_action(action),
             Action::Deliver | Action::PassOn(_) => {}
         }
     }
 
-    fn act_for_peer(&self, action: peer::Action) {
+    fn execute_peer_action(&self, action: peer::Action) {
         match action {
             peer::Action::Send(to, message) => self.send(to, message),
             peer::Action::Join(message) => self.send(self.join, message),
--- a/crates/nutmegkeel_node/src/agent/socket.rs
+++ b/crates/nutmegkeel_node/src/agent/socket.rs
@@ -85,8 +85,8 @@
                 Poll::Ready(Err(error)) => return Poll::Ready(Err(error)),
                 Poll::Ready(Ok(_)) => {}
             }
-            if let Some(arrived) = receive(&self.shared, read.filled()) {
-                meta[filled] = fill(&mut buffers[filled], &arrived);
+            if let Some(received) = receive(&self.shared, read.filled()) {
+                meta[filled] = copy_packet(&mut buffers[filled], &received);
                 filled += 1;
             }
         }
@@ -121,30 +121,30 @@
 }
 
 /// A caller's packet for this agent.
-struct Arrived<'a> {
+struct Received<'a> {
     caller: SocketAddr,
     packet: &'a [u8],
 }
 
-fn fill(buffer: &mut IoSliceMut<'_>, arrived: &Arrived<'_>) -> RecvMeta {
-    let length = arrived.packet.len().min(buffer.len());
-    buffer[..length].copy_from_slice(&arrived.packet[..length]);
-    RecvMeta { addr: arrived.caller, len: length, stride: length, ecn: None, dst_ip: None }
+fn copy_packet(buffer: &mut IoSliceMut<'_>, received: &Received<'_>) -> RecvMeta {
+    let length = received.packet.len().min(buffer.len());
+    buffer[..length].copy_from_slice(&received.packet[..length]);
+    RecvMeta { addr: received.caller, len: length, stride: length, ecn: None, dst_ip: None }
 }
 
 /// Decodes a datagram: handles a message, and returns a packet for this instance.
-fn receive<'a>(shared: &Shared, datagram: &'a [u8]) -> Option<Arrived<'a>> {
+fn receive<'a>(shared: &Shared, datagram: &'a [u8]) -> Option<Received<'a>> {
     let Frame { header, packet } = match frame::decode(&shared.keys, shared.now(), datagram) {
         Ok(frame) => frame,
-        Err(fault) => return dropped(metric::frame_fault(fault)),
+        Err(fault) => return drop_datagram(metric::frame_fault(fault)),
     };
     match header {
-        Header::Inbound(inbound) => take(shared, &inbound, packet),
+        Header::Inbound(inbound) => accept(shared, &inbound, packet),
         Header::Message(from, message) => {
             shared.handle(Event::Message(from, message));
             None
         }
-        Header::Outbound(_) => dropped("misdirected"),
+        Header::Outbound(_) => drop_datagram("misdirected"),
     }
 }
 
@@ -153,27 +153,27 @@
 /// Guards against a packet that reaches the wrong class or instance: an address may be reused by
 /// another class or by a later instance, and a balancer may not know that yet. Such a packet is
 /// never passed to the transport, whatever its connection ID is.
-fn take<'a>(shared: &Shared, inbound: &Inbound, packet: &'a [u8]) -> Option<Arrived<'a>> {
+fn accept<'a>(shared: &Shared, inbound: &Inbound, packet: &'a [u8]) -> Option<Received<'a>> {
     if inbound.class != shared.class_id {
-        return dropped("wrong_class");
+        return drop_datagram("wrong_class");
     }
     let hop = shared.core().hop();
     if inbound.instance != hop.instance {
         match inbound.opening {
             Some(opening) => pass_on(shared, inbound, opening, packet),
-            None => end(shared, inbound, packet),
+            None => send_reset(shared, inbound, packet),
         }
-        return dropped("wrong_instance");
+        return drop_datagram("wrong_instance");
     }
     shared.core().heard_caller(shared.now(), inbound.caller, inbound.via);
     if let Some(opening) = inbound.opening {
         let actions = shared.core().handle(shared.now(), Event::Opening(opening));
         if let Some(Action::PassOn(next)) = actions.into_iter().next() {
-            send_on(shared, inbound, opening, next, packet);
+            forward_opening(shared, inbound, opening, next, packet);
             return None;
         }
     }
-    Some(Arrived { caller: inbound.caller, packet })
+    Some(Received { caller: inbound.caller, packet })
 }
 
 /// Passes an opening that was meant for an earlier instance on to its next choice.
@@ -181,11 +181,11 @@
     if let Some(next) = opening.next
         && opening.passes < MOST_PASSES
     {
-        send_on(shared, inbound, opening, next, packet);
+        forward_opening(shared, inbound, opening, next, packet);
     }
 }
 
-fn send_on(shared: &Shared, inbound: &Inbound, opening: Opening, next: Hop, packet: &[u8]) {
+fn forward_opening(shared: &Shared, inbound: &Inbound, opening: Opening, next: Hop, packet: &[u8]) {
     let opening = opening.passed_on(shared.core().hop());
     let onward = Inbound { instance: next.instance, opening: Some(opening), ..inbound.clone() };
     let mut buffer = Vec::with_capacity(LARGEST);
@@ -197,7 +197,7 @@
 
 /// Ends a flow of an earlier instance at this address, so that its caller need not wait for its
 /// timeout.
-fn end(shared: &Shared, inbound: &Inbound, packet: &[u8]) {
+fn send_reset(shared: &Shared, inbound: &Inbound, packet: &[u8]) {
     let Some(Packet::Short(id)) = packet::header(packet) else {
         return;
     };
@@ -216,7 +216,7 @@
     }
 }
 
-fn dropped<'a>(reason: &'static str) -> Option<Arrived<'a>> {
+fn drop_datagram<'a>(reason: &'static str) -> Option<Received<'a>> {
     counter!(metric::DROPPED, "reason" => reason).increment(1);
     None
 }
--- a/crates/nutmegkeel_node/src/agent/transport.rs
+++ b/crates/nutmegkeel_node/src/agent/transport.rs
@@ -28,11 +28,11 @@
 /// Guards against a subscription that stays silent after its agent died. A caller that only
 /// receives sends nothing that a balancer could answer with a reset, so this timeout is its only
 /// signal.
-const IDLE: VarInt = VarInt::from_u32(10_000);
+const IDLE_TIMEOUT: VarInt = VarInt::from_u32(10_000);
 /// Interval of the packets that keep an idle flow open; three may be lost before the flow ends.
-const KEEP_ALIVE: Duration = Duration::from_secs(3);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(3);
 /// Maximum number of requests in progress on one flow.
-const STREAMS: VarInt = VarInt::from_u32(64);
+const MAX_STREAMS: VarInt = VarInt::from_u32(64);
 /// Receive window of one request, in bytes; bounds memory per flow.
 const STREAM_WINDOW: VarInt = VarInt::from_u32(256 * 1024);
 /// Receive window of all requests of a flow, in bytes.
@@ -40,7 +40,7 @@
 /// Maximum number of bytes sent and not acknowledged on a flow; bounds memory per flow.
 const SEND_WINDOW: u64 = 1024 * 1024;
 /// Largest packet that fits an Ethernet frame together with the frame header.
-const LARGEST_PACKET: u16 = 1_380;
+const MAX_PACKET_SIZE: u16 = 1_380;
 
 /// Creates the endpoint on the agent's frame socket.
 pub(super) fn open(settings: &settings::Agent, shared: &Arc<Shared>) -> Result<Endpoint, Fault> {
@@ -79,15 +79,15 @@
 
 fn transport() -> TransportConfig {
     let mut discovery = MtuDiscoveryConfig::default();
-    discovery.upper_bound(LARGEST_PACKET);
+    discovery.upper_bound(MAX_PACKET_SIZE);
     let mut transport = TransportConfig::default();
     transport
-        .max_concurrent_bidi_streams(STREAMS)
+        .max_concurrent_bidi_streams(MAX_STREAMS)
         .stream_receive_window(STREAM_WINDOW)
         .receive_window(FLOW_WINDOW)
         .send_window(SEND_WINDOW)
-        .max_idle_timeout(Some(IdleTimeout::from(IDLE)))
-        .keep_alive_interval(Some(KEEP_ALIVE))
+        .max_idle_timeout(Some(IdleTimeout::from(IDLE_TIMEOUT)))
+        .keep_alive_interval(Some(KEEP_ALIVE_INTERVAL))
         .mtu_discovery_config(Some(discovery));
     transport
 }
--- a/crates/nutmegkeel_node/src/balancer.rs
+++ b/crates/nutmegkeel_node/src/balancer.rs
@@ -35,17 +35,17 @@
 use crate::web::{self, Answer, Call};
 
 /// Interval between two ticks of the core.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Interval at which threads check whether to stop.
-const WAKE: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// A leaving balancer ends after this time without a packet from a caller, in milliseconds.
 const QUIET_MS: u64 = 1_000;
 /// A leaving balancer ends after this time in any case, in milliseconds.
-const LONGEST_LEAVE_MS: u64 = 30_000;
+const MAX_LEAVE_MS: u64 = 30_000;
 
 /// The address of a class and the socket bound to it.
 #[derive(Debug)]
-struct Desk {
+struct Listener {
     name: class::Name,
     id: class::Id,
     socket: UdpSocket,
@@ -60,7 +60,7 @@
     frames: UdpSocket,
     own: SocketAddr,
     join: SocketAddr,
-    desks: BTreeMap<class::Id, Arc<Desk>>,
+    listeners: BTreeMap<class::Id, Arc<Listener>>,
     ended: RwLock<Ended>,
     reads: Sender<()>,
     last_packet_ms: AtomicU64,
@@ -105,16 +105,16 @@
     let administration =
         crate::administration::spawn(address, &settings.token, Arc::clone(&shared))
             .map_err(address::Fault::of("administration", address))?;
-    for desk in shared.desks.values() {
-        let (shared, desk) = (Arc::clone(&shared), Arc::clone(desk));
-        start("desk", move || forward::from_callers(&shared, &desk))?;
+    for listener in shared.listeners.values() {
+        let (shared, listener) = (Arc::clone(&shared), Arc::clone(listener));
+        spawn_thread("desk", move || forward::receive_from_callers(&shared, &listener))?;
     }
     let frames = Arc::clone(&shared);
-    start("frames", move || forward::from_processes(&frames))?;
+    spawn_thread("frames", move || forward::receive_from_processes(&frames))?;
     let ticks = Arc::clone(&shared);
-    start("time", move || ticks.keep_time())?;
+    spawn_thread("time", move || ticks.run_ticks())?;
     let platform = Arc::clone(&shared);
-    start("platform", move || platform::read_on_request(&platform, &read_requests))?;
+    spawn_thread("platform", move || platform::read_on_request(&platform, &read_requests))?;
     info!(event = "balancer_started", frames:display = shared.own; "balancer started");
     Ok(Handle { shared, _web: web, _administration: administration })
 }
@@ -128,11 +128,11 @@
         shared.handle(Event::Leave);
         let since = shared.clock.now();
         loop {
-            thread::sleep(WAKE);
+            thread::sleep(POLL_INTERVAL);
             let now = shared.clock.now();
             let last = shared.last_packet_ms.load(Ordering::Relaxed);
             let quiet = now.millis().saturating_sub(last.max(since.millis())) > QUIET_MS;
-            if quiet || now.since(since) > LONGEST_LEAVE_MS {
+            if quiet || now.since(since) > MAX_LEAVE_MS {
                 break;
             }
         }
@@ -166,13 +166,13 @@
     pub(crate) fn handle(&self, event: Event) {
         let actions = self.core().handle(self.clock.now(), event);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(&self, action: Action) {
+    fn execute(&self, action: Action) {
         match action {
-            Action::Peer(action) => self.act_for_peer(action),
+            Action::Peer(action) => self.execute_peer_action(action),
             Action::Read => {
                 // The reader ends only with the process.
                 let _ = self.reads.send(());
@@ -181,7 +181,7 @@
         }
     }
 
-    fn act_for_peer(&self, action: peer::Action) {
+    fn execute_peer_action(&self, action: peer::Action) {
         match action {
             peer::Action::Send(to, message) => self.send(to, message),
             peer::Action::Join(message) => self.send(self.join, message),
@@ -227,9 +227,9 @@
         }
     }
 
-    fn keep_time(&self) {
+    fn run_ticks(&self) {
         while !self.stopped.load(Ordering::Relaxed) {
-            thread::sleep(TICK);
+            thread::sleep(TICK_INTERVAL);
             self.handle(Event::Tick);
         }
     }
@@ -239,11 +239,11 @@
     let common = &settings.common;
     let frames = bind("frames", common.frames)?;
     let own = frames.local_addr().unwrap_or(common.frames);
-    let mut desks = BTreeMap::new();
+    let mut listeners = BTreeMap::new();
     for listen in &settings.listen {
         let id = class::Id::of(&listen.class);
         let socket = bind("listen", listen.address)?;
-        desks.insert(id, Arc::new(Desk { name: listen.class.clone(), id, socket }));
+        listeners.insert(id, Arc::new(Listener { name: listen.class.clone(), id, socket }));
     }
     let me = Record {
         address: own,
@@ -261,7 +261,7 @@
         frames,
         own,
         join: common.join,
-        desks,
+        listeners,
         ended: RwLock::new(Ended::default()),
         reads,
         last_packet_ms: AtomicU64::new(0),
@@ -273,13 +273,13 @@
 
 fn bind(field: &'static str, address: SocketAddr) -> Result<UdpSocket, Fault> {
     let bound = UdpSocket::bind(address).and_then(|socket| {
-        socket.set_read_timeout(Some(WAKE))?;
+        socket.set_read_timeout(Some(POLL_INTERVAL))?;
         Ok(socket)
     });
     Ok(bound.map_err(address::Fault::of(field, address))?)
 }
 
-fn start(name: &str, body: impl FnOnce() + Send + 'static) -> Result<(), Fault> {
+fn spawn_thread(name: &str, body: impl FnOnce() + Send + 'static) -> Result<(), Fault> {
     let thread = thread::Builder::new().name(name.to_owned());
     thread.spawn(body).map(drop).map_err(Fault::Thread)
 }
--- a/crates/nutmegkeel_node/src/balancer/forward.rs
+++ b/crates/nutmegkeel_node/src/balancer/forward.rs
@@ -11,39 +11,39 @@
 use nutmegkeel_wire::packet::{self, Header as Packet};
 use nutmegkeel_wire::{cid, reset};
 
-use super::{Desk, Shared};
+use super::{Listener, Shared};
 use crate::metric;
 
 /// Receives packets of callers at a class address until the balancer stops.
-pub(super) fn from_callers(shared: &Shared, desk: &Desk) {
+pub(super) fn receive_from_callers(shared: &Shared, listener: &Listener) {
     let mut datagram = [0; LARGEST];
     let mut buffer = Vec::with_capacity(LARGEST);
     while !shared.stopped.load(Ordering::Relaxed) {
-        let Ok((length, caller)) = desk.socket.recv_from(&mut datagram) else {
+        let Ok((length, caller)) = listener.socket.recv_from(&mut datagram) else {
             continue;
         };
         let datagram = &datagram[..length];
         if frame::is_frame(datagram) {
-            from_process(shared, datagram);
+            handle_frame(shared, datagram);
         } else {
-            from_caller(shared, desk, caller, datagram, &mut buffer);
+            handle_datagram(shared, listener, caller, datagram, &mut buffer);
         }
     }
 }
 
 /// Receives frames of agents and peers until the balancer stops.
-pub(super) fn from_processes(shared: &Shared) {
+pub(super) fn receive_from_processes(shared: &Shared) {
     let mut datagram = [0; LARGEST];
     while !shared.stopped.load(Ordering::Relaxed) {
         if let Ok((length, _)) = shared.frames.recv_from(&mut datagram) {
-            from_process(shared, &datagram[..length]);
+            handle_frame(shared, &datagram[..length]);
         }
     }
 }
 
-fn from_caller(
+fn handle_datagram(
     shared: &Shared,
-    desk: &Desk,
+    listener: &Listener,
     caller: SocketAddr,
     datagram: &[u8],
     buffer: &mut Vec<u8>,
@@ -51,48 +51,48 @@
     let now = shared.clock.now();
     shared.last_packet_ms.store(now.millis(), Ordering::Relaxed);
     match packet::header(datagram) {
-        Some(Packet::Long(id)) => match cid::decode(&shared.keys, desk.id, &id) {
-            Ok(hop) => send_on(shared, desk, caller, hop, None, datagram, buffer),
-            Err(_) => open(shared, desk, caller, &id, datagram, buffer),
+        Some(Packet::Long(id)) => match cid::decode(&shared.keys, listener.id, &id) {
+            Ok(hop) => forward(shared, listener, caller, hop, None, datagram, buffer),
+            Err(_) => place_flow(shared, listener, caller, &id, datagram, buffer),
         },
-        Some(Packet::Short(id)) => match cid::decode(&shared.keys, desk.id, &id) {
+        Some(Packet::Short(id)) => match cid::decode(&shared.keys, listener.id, &id) {
             Ok(hop) if shared.is_gone(hop.address, hop.instance) => {
-                end(shared, desk, caller, &id, datagram.len());
+                send_reset(shared, listener, caller, &id, datagram.len());
             }
-            Ok(hop) => send_on(shared, desk, caller, hop, None, datagram, buffer),
-            Err(_) => dropped("foreign_connection_id"),
+            Ok(hop) => forward(shared, listener, caller, hop, None, datagram, buffer),
+            Err(_) => drop_datagram("foreign_connection_id"),
         },
-        None => dropped("not_quic"),
+        None => drop_datagram("not_quic"),
     }
 }
 
 /// Places a flow whose connection ID was chosen by the caller.
-fn open(
+fn place_flow(
     shared: &Shared,
-    desk: &Desk,
+    listener: &Listener,
     caller: SocketAddr,
     id: &[u8],
     datagram: &[u8],
     buffer: &mut Vec<u8>,
 ) {
-    let place = desk.id.number().to_be_bytes();
+    let place = listener.id.number().to_be_bytes();
     let key = Key::of(&[caller.to_string().as_bytes(), &place, id]);
-    let opening = Event::Opening(desk.name.clone(), key);
+    let opening = Event::Opening(listener.name.clone(), key);
     let actions = shared.core().handle(shared.clock.now(), opening);
     for action in actions {
         if let Action::Forward(choice) = action {
-            counter!(metric::PLACED, "class" => desk.name.to_string()).increment(1);
+            counter!(metric::PLACED, "class" => listener.name.to_string()).increment(1);
             let opening = Opening::open(key, &choice);
-            send_on(shared, desk, caller, choice.first, Some(opening), datagram, buffer);
+            forward(shared, listener, caller, choice.first, Some(opening), datagram, buffer);
         } else {
-            counter!(metric::UNPLACED, "class" => desk.name.to_string()).increment(1);
+            counter!(metric::UNPLACED, "class" => listener.name.to_string()).increment(1);
         }
     }
 }
 
-fn send_on(
+fn forward(
     shared: &Shared,
-    desk: &Desk,
+    listener: &Listener,
     caller: SocketAddr,
     hop: Hop,
     opening: Option<Opening>,
@@ -100,10 +100,10 @@
     buffer: &mut Vec<u8>,
 ) {
     let inbound =
-        Inbound { class: desk.id, caller, via: shared.own, instance: hop.instance, opening };
+        Inbound { class: listener.id, caller, via: shared.own, instance: hop.instance, opening };
     frame::encode(&shared.keys, shared.clock.now(), Header::Inbound(inbound), datagram, buffer);
     if shared.frames.send_to(buffer, hop.address).is_err() {
-        return dropped("send");
+        return drop_datagram("send");
     }
     counter!(metric::PACKETS_IN).increment(1);
 }
@@ -111,37 +111,43 @@
 /// Ends a flow whose agent is gone by sending a stateless reset.
 ///
 /// Without the reset the caller would wait for its idle timeout.
-fn end(shared: &Shared, desk: &Desk, caller: SocketAddr, id: &[u8], provoked_by: usize) {
-    if let Some(packet) = reset::packet(&shared.keys, id, provoked_by, rand::random())
-        && desk.socket.send_to(&packet, caller).is_ok()
+fn send_reset(
+    shared: &Shared,
+    listener: &Listener,
+    caller: SocketAddr,
+    id: &[u8],
+    provoking_len: usize,
+) {
+    if let Some(packet) = reset::packet(&shared.keys, id, provoking_len, rand::random())
+        && listener.socket.send_to(&packet, caller).is_ok()
     {
         counter!(metric::RESETS).increment(1);
     }
 }
 
-fn from_process(shared: &Shared, datagram: &[u8]) {
+fn handle_frame(shared: &Shared, datagram: &[u8]) {
     let frame = match frame::decode(&shared.keys, shared.clock.now(), datagram) {
         Ok(frame) => frame,
-        Err(fault) => return dropped(metric::frame_fault(fault)),
+        Err(fault) => return drop_datagram(metric::frame_fault(fault)),
     };
     match frame.header {
-        Header::Outbound(outbound) => to_caller(shared, &outbound, frame.packet),
+        Header::Outbound(outbound) => send_to_caller(shared, &outbound, frame.packet),
         Header::Message(from, message) => shared.handle(Event::Message(from, message)),
-        Header::Inbound(_) => dropped("misdirected"),
+        Header::Inbound(_) => drop_datagram("misdirected"),
     }
 }
 
-fn to_caller(shared: &Shared, outbound: &Outbound, packet: &[u8]) {
-    let Some(desk) = shared.desks.get(&outbound.class) else {
-        return dropped("unknown_class");
+fn send_to_caller(shared: &Shared, outbound: &Outbound, packet: &[u8]) {
+    let Some(listener) = shared.listeners.get(&outbound.class) else {
+        return drop_datagram("unknown_class");
     };
-    if desk.socket.send_to(packet, outbound.caller).is_err() {
-        return dropped("send");
+    if listener.socket.send_to(packet, outbound.caller).is_err() {
+        return drop_datagram("send");
     }
     counter!(metric::PACKETS_OUT).increment(1);
     shared.handle(Event::Heard(outbound.agent, outbound.report));
 }
 
-fn dropped(reason: &'static str) {
+fn drop_datagram(reason: &'static str) {
     counter!(metric::DROPPED, "reason" => reason).increment(1);
 }
--- a/crates/nutmegkeel_node/src/l4/gauges.rs
+++ b/crates/nutmegkeel_node/src/l4/gauges.rs
@@ -32,9 +32,9 @@
 fn update_evenness(core: &Balancer, now: Time) {
     for (service, evenness) in core.evenness(now) {
         let service = metric::service_label(service.number());
-        gauge!(metric::SLOW, "service" => service.clone()).set(evenness.slow as f64);
+        gauge!(metric::SLOW_SERVERS, "service" => service.clone()).set(evenness.slow as f64);
         let to_mean = evenness.busiest as f64 / evenness.mean.max(1) as f64;
-        gauge!(metric::EVENNESS, "service" => service).set(to_mean);
+        gauge!(metric::BUSIEST_TO_MEAN, "service" => service).set(to_mean);
     }
 }
 
@@ -48,6 +48,6 @@
         gauge!(metric::UTILIZATION, "service" => service, "domain" => domain).set(utilization);
     }
     if let Some(sent_remote) = core.sent_remote() {
-        gauge!(metric::SENT_ABROAD).set(fraction(sent_remote));
+        gauge!(metric::SENT_REMOTE).set(fraction(sent_remote));
     }
 }
--- a/crates/nutmegkeel_node/src/l4/membership.rs
+++ b/crates/nutmegkeel_node/src/l4/membership.rs
@@ -108,7 +108,7 @@
                 answered_at = clock.now();
             }
             #[expect(clippy::cast_precision_loss, reason = "a gauge is read by eye")]
-            gauge!(metric::STORE_AGE).set(clock.now().since(answered_at) as f64);
+            gauge!(metric::STORE_ANSWER_AGE).set(clock.now().since(answered_at) as f64);
             reachability.record(outcome);
             member.store.record_skipped();
             thread::sleep(CHECK_INTERVAL);
--- a/crates/nutmegkeel_node/src/metric.rs
+++ b/crates/nutmegkeel_node/src/metric.rs
@@ -42,7 +42,7 @@
 /// How often the store has come back from an older copy of itself.
 pub const STORE_ERA: &str = "nutmegkeel_store_era";
 /// Milliseconds since the last answer of the store.
-pub const STORE_AGE: &str = "nutmegkeel_store_answer_age_ms";
+pub const STORE_ANSWER_AGE: &str = "nutmegkeel_store_answer_age_ms";
 /// Calls to other processes for their configuration, by result.
 pub const FETCHES: &str = "nutmegkeel_configuration_fetches_total";
 /// Version of the configuration in force at a balancer.
@@ -52,14 +52,14 @@
 /// Requests for each slot of a service's servers in a failure domain, as a balancer sees it.
 pub const UTILIZATION: &str = "nutmegkeel_domain_utilization";
 /// Part of a balancer's recent openings that went to other failure domains.
-pub const SENT_ABROAD: &str = "nutmegkeel_openings_abroad";
+pub const SENT_REMOTE: &str = "nutmegkeel_openings_abroad";
 /// Agents that a balancer knows.
 pub const AGENTS: &str = "nutmegkeel_agents";
 /// Backend servers of a service that a balancer considers far slower than their peers.
-pub const SLOW: &str = "nutmegkeel_slow_servers";
+pub const SLOW_SERVERS: &str = "nutmegkeel_slow_servers";
 /// Utilization of a service's busiest backend server in relation to the mean, as reported to a
 /// balancer.
-pub const EVENNESS: &str = "nutmegkeel_busiest_to_mean";
+pub const BUSIEST_TO_MEAN: &str = "nutmegkeel_busiest_to_mean";
 /// Requests in progress at an agent, openings included.
 pub const BUSY: &str = "nutmegkeel_busy";
 /// Openings that a balancer refused for want of room, by cause and urgency.
--- a/crates/nutmegkeel_node/src/output.rs
+++ b/crates/nutmegkeel_node/src/output.rs
@@ -22,13 +22,13 @@
 
 /// Number of lines that may wait for the writer: 400 KB at 400 bytes each, and several seconds'
 /// worth at the budgets of the busiest kinds.
-const QUEUE: usize = 1_000;
+const QUEUE_CAPACITY: usize = 1_000;
 
 /// Maximum time that a process waits at its end for the last lines to be written.
-const LAST: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Interval between two checks whether the last lines are written.
-const LOOK: Duration = Duration::from_millis(5);
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// An appender that never blocks.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
     /// # Errors
     /// When the thread cannot be started.
     pub fn spawn(writer: Box<dyn Write + Send>) -> io::Result<Self> {
-        let (lines, queued) = sync_channel(QUEUE);
+        let (lines, queued) = sync_channel(QUEUE_CAPACITY);
         let pending = Arc::new(AtomicUsize::new(0));
         let counted = Arc::clone(&pending);
         thread::Builder::new()
@@ -68,9 +68,9 @@
     }
 
     fn flush(&self) {
-        let until = Instant::now() + LAST;
+        let until = Instant::now() + FLUSH_TIMEOUT;
         while self.pending.load(Ordering::Relaxed) > 0 && Instant::now() < until {
-            thread::sleep(LOOK);
+            thread::sleep(FLUSH_POLL_INTERVAL);
         }
     }
 }
--- a/crates/nutmegkeel_node/src/settings.rs
+++ b/crates/nutmegkeel_node/src/settings.rs
@@ -113,9 +113,9 @@
     accepted: BTreeMap<u8, String>,
 }
 
-const ADDRESS: &str = "an IP address and port such as 10.0.0.1:7000";
-const FILE: &str = "a path to a file that only its owner may read";
-const LEAST_TOKEN: usize = 16;
+const ADDRESS_ALLOWED: &str = "an IP address and port such as 10.0.0.1:7000";
+const FILE_ALLOWED: &str = "a path to a file that only its owner may read";
+const MIN_TOKEN_LENGTH: usize = 16;
 
 /// Reads and checks a settings file.
 ///
@@ -156,7 +156,7 @@
 fn balancer(reader: &mut Reader) -> Option<Balancer> {
     let common = common(reader);
     let listen = listen(reader);
-    let administration = reader.required("administration", ADDRESS);
+    let administration = reader.required("administration", ADDRESS_ALLOWED);
     let token = token(reader);
     Some(Balancer {
         common: common?,
@@ -168,16 +168,16 @@
 
 fn agent(reader: &mut Reader) -> Option<Agent> {
     let common = common(reader);
-    let certificate = existing(reader, "certificate");
+    let certificate = existing_file(reader, "certificate");
     let private_key = secret_file(reader, "private_key");
     Some(Agent { common: common?, certificate: certificate?, private_key: private_key? })
 }
 
 fn common(reader: &mut Reader) -> Option<Common> {
     let domain = reader.required::<Arc<str>>("domain", "the name of a failure domain");
-    let frames = reader.required("frames", ADDRESS);
-    let web = reader.required("web", ADDRESS);
-    let join = reader.required("join", ADDRESS);
+    let frames = reader.required("frames", ADDRESS_ALLOWED);
+    let web = reader.required("web", ADDRESS_ALLOWED);
+    let join = reader.required("join", ADDRESS_ALLOWED);
     let platform = platform(reader);
     let keys = keys(reader);
     Some(Common {
@@ -204,9 +204,9 @@
 }
 
 fn token(reader: &mut Reader) -> Option<String> {
-    let allowed = format!("a text of at least {LEAST_TOKEN} characters");
+    let allowed = format!("a text of at least {MIN_TOKEN_LENGTH} characters");
     let token: String = reader.required("token", &allowed)?;
-    if token.len() < LEAST_TOKEN {
+    if token.len() < MIN_TOKEN_LENGTH {
         reader.fault("token", format!("is too short; allowed: {allowed}"));
         return None;
     }
@@ -223,7 +223,7 @@
     Some(platform)
 }
 
-fn existing(reader: &mut Reader, field: &'static str) -> Option<PathBuf> {
+fn existing_file(reader: &mut Reader, field: &'static str) -> Option<PathBuf> {
     let path: PathBuf = reader.required(field, "a path to a file")?;
     if let Err(error) = std::fs::metadata(&path) {
         reader.fault(field, format!("{}: {error}", path.display()));
@@ -236,11 +236,12 @@
 /// host could read.
 fn secret_file(reader: &mut Reader, field: &'static str) -> Option<PathBuf> {
     use std::os::unix::fs::PermissionsExt;
-    const OTHERS: u32 = 0o077;
-    let path = existing(reader, field)?;
+    const GROUP_AND_OTHERS: u32 = 0o077;
+    let path = existing_file(reader, field)?;
     let mode = std::fs::metadata(&path).map_or(0, |meta| meta.permissions().mode());
-    if mode & OTHERS != 0 {
-        let reason = format!("{} has mode {:o}; allowed: {FILE}", path.display(), mode & 0o777);
+    if mode & GROUP_AND_OTHERS != 0 {
+        let reason =
+            format!("{} has mode {:o}; allowed: {FILE_ALLOWED}", path.display(), mode & 0o777);
         reader.fault(field, reason);
         return None;
     }
--- a/crates/nutmegkeel_node/src/settings/reader.rs
+++ b/crates/nutmegkeel_node/src/settings/reader.rs
@@ -7,7 +7,7 @@
 
 /// Fields that are common in the settings of other load balancers and are rejected here with a
 /// reason.
-const NEVER: [&str; 5] = ["weight", "weights", "backend", "backends", "servers"];
+const FORBIDDEN: [&str; 5] = ["weight", "weights", "backend", "backends", "servers"];
 
 pub(super) struct Reader {
     fields: Map<String, Value>,
@@ -53,9 +53,9 @@
 
     pub(super) fn refuse_unknown(&mut self) {
         let unknown: Vec<String> =
-            std::mem::take(&mut self.fields).into_iter().map(first).collect();
+            std::mem::take(&mut self.fields).into_iter().map(field_name).collect();
         for field in unknown {
-            let reason = if NEVER.contains(&field.as_str()) {
+            let reason = if FORBIDDEN.contains(&field.as_str()) {
                 "is refused: operators state targets per class; backend servers announce \
                  themselves to their agents, and the system finds the weights"
             } else {
@@ -70,6 +70,6 @@
     }
 }
 
-fn first(entry: (String, Value)) -> String {
+fn field_name(entry: (String, Value)) -> String {
     entry.0
 }
--- a/crates/nutmegkeel_node/src/web.rs
+++ b/crates/nutmegkeel_node/src/web.rs
@@ -9,7 +9,7 @@
 use tiny_http::{Method, Request, Response, Server};
 
 /// Maximum length of a request body that is read, in bytes.
-const LARGEST_BODY: u64 = 64 * 1024;
+const MAX_BODY_BYTES: u64 = 64 * 1024;
 
 /// Time after which a connection with unacknowledged data is closed.
 const ACK_TIMEOUT: Duration = Duration::from_secs(1);
@@ -71,7 +71,7 @@
 
 fn serve(mut request: Request, handler: &Handler) {
     let mut body = Vec::new();
-    let read = request.as_reader().take(LARGEST_BODY).read_to_end(&mut body);
+    let read = request.as_reader().take(MAX_BODY_BYTES).read_to_end(&mut body);
     let answer = match read {
         Ok(_) => {
             let post = *request.method() == Method::Post;
