--- a/crates/nutmegkeel_node/tests/fetcher.rs
+++ b/crates/nutmegkeel_node/tests/fetcher.rs
@@ -18,20 +18,20 @@
 
 /// Maximum duration of a fetch while a call to another holder hangs, including the wait for other
 /// callers.
-const DOUBTED: Duration = Duration::from_millis(300);
+const MAX_FETCH_TIME: Duration = Duration::from_millis(300);
 
 /// Returns the address of a process of the test.
-fn process(number: u8) -> SocketAddrV4 {
+fn address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(127, 91, 254, number), PORT)
 }
 
 fn holder(number: u8, version: u64) -> Holder {
-    Holder { address: *process(number).ip(), version }
+    Holder { address: *address(number).ip(), version }
 }
 
 /// Accepts connections and never answers on them.
-fn spawn_silent(number: u8) {
-    let listener = TcpListener::bind(process(number)).expect("the address is free");
+fn spawn_unresponsive_holder(number: u8) {
+    let listener = TcpListener::bind(address(number)).expect("the address is free");
     thread::spawn(move || {
         let accepted: Vec<_> = listener.incoming().collect();
         drop(accepted);
@@ -56,7 +56,7 @@
 
 /// Serves a configuration of this version.
 fn spawn_holder(number: u8, version: u64) {
-    let listener = TcpListener::bind(process(number)).expect("the address is free");
+    let listener = TcpListener::bind(address(number)).expect("the address is free");
     thread::spawn(move || {
         for stream in listener.incoming() {
             answer_call(&mut stream.expect("a connection"), &packed_configuration(version));
@@ -67,7 +67,7 @@
 /// Serves a configuration of the current `version` to the first call on each connection, and leaves
 /// later calls on it unanswered.
 fn spawn_holder_once_per_connection(number: u8, version: &Arc<AtomicU64>) {
-    let listener = TcpListener::bind(process(number)).expect("the address is free");
+    let listener = TcpListener::bind(address(number)).expect("the address is free");
     let version = Arc::clone(version);
     thread::spawn(move || {
         // Keeps the connections open: a closed one would not be reused.
@@ -80,9 +80,9 @@
     });
 }
 
-fn spawn_asker(number: u8) -> (Fetcher, Receiver<Table>) {
+fn spawn_fetcher(number: u8) -> (Fetcher, Receiver<Table>) {
     let (sender, tables) = channel();
-    let fetcher = Fetcher::spawn(process(number), Source::default(), move |table| {
+    let fetcher = Fetcher::spawn(address(number), Source::default(), move |table| {
         sender.send(table).expect("the receiver exists");
     });
     (fetcher.expect("a thread starts"), tables)
@@ -92,9 +92,9 @@
 /// a failure domain fetch from one delegate, which accepts a connection and never answers. The
 /// fetch must go to another holder as soon as the answer is late.
 #[test]
-fn a_source_that_never_answers_costs_little() {
-    spawn_silent(1);
-    let (fetcher, tables) = spawn_asker(3);
+fn unresponsive_holder_does_not_delay_fetch_from_another() {
+    spawn_unresponsive_holder(1);
+    let (fetcher, tables) = spawn_fetcher(3);
 
     let began = Instant::now();
     fetcher.fetch(holder(1, 7));
@@ -104,15 +104,15 @@
     let table = tables.recv_timeout(Duration::from_secs(3)).expect("a configuration is fetched");
 
     assert_eq!(table.version, 7);
-    assert!(began.elapsed() < DOUBTED, "it took {:?}", began.elapsed());
+    assert!(began.elapsed() < MAX_FETCH_TIME, "it took {:?}", began.elapsed());
 }
 
 /// Two delegates announce the same configuration: it is fetched once and applied once.
 #[test]
-fn an_answer_serves_for_all_that_have_the_same() {
+fn same_version_is_fetched_once() {
     spawn_holder(11, 7);
     spawn_holder(12, 7);
-    let (fetcher, tables) = spawn_asker(13);
+    let (fetcher, tables) = spawn_fetcher(13);
 
     fetcher.fetch(holder(11, 7));
     fetcher.fetch(holder(12, 7));
@@ -129,11 +129,11 @@
 /// Guards against a fetch that is delayed by the call timeout because it reuses connections on
 /// which the holders no longer answer.
 #[test]
-fn connections_of_earlier_fetches_are_not_used_again() {
+fn connections_are_not_reused() {
     let version = Arc::new(AtomicU64::new(7));
     spawn_holder_once_per_connection(21, &version);
     spawn_holder_once_per_connection(22, &version);
-    let (fetcher, tables) = spawn_asker(23);
+    let (fetcher, tables) = spawn_fetcher(23);
     for (number, earlier_version) in [(21, 7), (22, 8)] {
         version.store(earlier_version, Ordering::SeqCst);
         fetcher.fetch(holder(number, earlier_version));
@@ -149,5 +149,5 @@
     let table = tables.recv_timeout(Duration::from_secs(3)).expect("a configuration is fetched");
 
     assert_eq!(table.version, 9);
-    assert!(began.elapsed() < DOUBTED, "it took {:?}", began.elapsed());
+    assert!(began.elapsed() < MAX_FETCH_TIME, "it took {:?}", began.elapsed());
 }
--- a/crates/nutmegkeel_node/tests/metric.rs
+++ b/crates/nutmegkeel_node/tests/metric.rs
@@ -14,7 +14,7 @@
 /// Guards against memory that grows with traffic: kept samples of eight bytes per answer accumulate
 /// as long as the metrics are not read, until the process is killed for its memory use.
 #[test]
-fn samples_that_nobody_reads_take_no_memory() {
+fn unread_samples_do_not_accumulate_in_memory() {
     metric::install().expect("the first recorder of this process");
     histogram!("unread_seconds").record(0.1);
     let before = resident_pages();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_was_recorded_is_shown_by_name_and_label() {
+fn rendered_text_groups_series_by_name_and_label() {
     let recorder = Handle::open();
     with_local_recorder(&recorder, || {
         counter!("drops_total", "reason" => "b").increment(2);
--- a/crates/nutmegkeel_node/tests/output.rs
+++ b/crates/nutmegkeel_node/tests/output.rs
@@ -25,9 +25,9 @@
 
 /// An output that stores what is written.
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct Buffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for Buffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).extend_from_slice(bytes);
         Ok(bytes.len())
@@ -47,7 +47,7 @@
 /// Guards against an expired lease and an old configuration because the log is not read: the pipe
 /// is full, and the threads that renew the lease and watch the configuration block in a write.
 #[test]
-fn an_output_that_nobody_reads_holds_nobody_up() {
+fn blocked_output_does_not_block_logging_threads() {
     let output = Output::spawn(Box::new(Stalled)).expect("a thread can be started");
     let began = Instant::now();
 
@@ -60,15 +60,15 @@
 }
 
 #[test]
-fn the_last_lines_are_written_before_the_process_ends() {
-    let kept = Kept::default();
-    let output = Output::spawn(Box::new(kept.clone())).expect("a thread can be started");
+fn flush_waits_for_queued_lines() {
+    let buffer = Buffer::default();
+    let output = Output::spawn(Box::new(buffer.clone())).expect("a thread can be started");
 
     log(&output, "first");
     log(&output, "last");
     output.flush();
 
-    let written = kept.0.lock().unwrap_or_else(PoisonError::into_inner).clone();
+    let written = buffer.0.lock().unwrap_or_else(PoisonError::into_inner).clone();
     let text = String::from_utf8(written).expect("lines are text");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 2, "{text}");
--- a/crates/nutmegkeel_node/tests/settings.rs
+++ b/crates/nutmegkeel_node/tests/settings.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn whole_settings_have_no_faults() {
+fn valid_settings_have_no_faults() {
     let directory = Directory::open("whole");
     let settings = balancer(&directory);
 
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn every_single_fault_names_its_field() {
+fn each_fault_names_its_field() {
     let directory = Directory::open("single");
     let open_keys = directory.file("open.json", &key_text(), 0o644);
     let short_keys = json!({"used": 1, "accepted": {"1": "abcd"}}).to_string();
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_missing_field_is_named_with_what_is_allowed() {
+fn missing_field_is_reported_with_allowed_values() {
     let directory = Directory::open("missing");
     let mut settings = balancer(&directory);
     settings.as_object_mut().expect("an object").remove("frames");
@@ -122,7 +122,7 @@
 /// Guards against an operator who has to restart the process for each fault because only the first
 /// one is reported.
 #[test]
-fn all_faults_are_named_at_once() {
+fn all_faults_are_reported_together() {
     let directory = Directory::open("all");
     let mut settings = balancer(&directory);
     settings["frames"] = json!("x");
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn what_is_no_json_is_said_so() {
+fn invalid_json_is_reported() {
     let found =
         settings::parse(Path::new("balancer.json"), "{ role: balancer").expect_err("faulty");
 
@@ -156,7 +156,7 @@
 
 /// Guards against a page for operators that does not match the fields in the code.
 #[test]
-fn the_page_lists_every_field() {
+fn settings_page_lists_every_field() {
     let page = include_str!("../../../docs/SETTINGS.md");
     let directory = Directory::open("page");
     let of_balancer = balancer(&directory);
