--- a/crates/nutmegkeel_node/src/agent/socket.rs
+++ b/crates/nutmegkeel_node/src/agent/socket.rs
@@ -74,10 +74,10 @@
         buffers: &mut [IoSliceMut<'_>],
         meta: &mut [RecvMeta],
     ) -> Poll<io::Result<usize>> {
-        let most = buffers.len().min(meta.len());
+        let capacity = buffers.len().min(meta.len());
         let mut filled = 0;
         let mut datagram = [0; LARGEST];
-        while filled < most {
+        while filled < capacity {
             let mut read = ReadBuf::new(&mut datagram);
             match self.shared.socket.poll_recv_from(context, &mut read) {
                 Poll::Pending if filled > 0 => break,
--- a/crates/nutmegkeel_node/src/l4/agent.rs
+++ b/crates/nutmegkeel_node/src/l4/agent.rs
@@ -184,11 +184,11 @@
 fn spawn_readers(shared: &Arc<Shared>) -> Result<(), Fault> {
     let server = Arc::clone(shared);
     link::spawn_reader("server", Arc::clone(&shared.server_socket), move |bytes, _| {
-        server.server_packet(bytes);
+        server.handle_server_packet(bytes);
     })?;
     let messages = Arc::clone(shared);
     link::spawn_reader("messages", shared.link.socket(), move |bytes, from| {
-        messages.message(bytes, from);
+        messages.handle_message(bytes, from);
     })?;
     Ok(())
 }
@@ -223,7 +223,7 @@
         lock(&self.kept)
     }
 
-    fn server_packet(&self, bytes: &mut [u8]) {
+    fn handle_server_packet(&self, bytes: &mut [u8]) {
         let Ok(head) = packet::decode(bytes, Direction::ToClient) else {
             link::drop_datagram("packet");
             return;
@@ -237,7 +237,7 @@
         }
     }
 
-    fn message(&self, bytes: &mut [u8], from: Ipv4Addr) {
+    fn handle_message(&self, bytes: &mut [u8], from: Ipv4Addr) {
         let Ok((message, packet)) = wire::decode(bytes) else {
             link::drop_datagram("message");
             return;
@@ -294,7 +294,7 @@
                 Action::Forget(flow) => {
                     self.kept().take(now, &flow);
                 }
-                Action::ToClient => self.to_client(packet),
+                Action::ToClient => self.send_to_client(packet),
                 Action::Return(to, message) => {
                     packet::restore(packet);
                     self.link.send(to, &message, packet);
@@ -324,7 +324,7 @@
         }
     }
 
-    fn to_client(&self, packet: &[u8]) {
+    fn send_to_client(&self, packet: &[u8]) {
         if let Ok(head) = packet::decode(packet, Direction::ToClient) {
             let client = SocketAddrV4::new(*head.flow.client.ip(), self.client_port);
             link::send(&self.server_socket, packet, client);
--- a/crates/nutmegkeel_node/src/l4/balancer.rs
+++ b/crates/nutmegkeel_node/src/l4/balancer.rs
@@ -202,11 +202,11 @@
 fn spawn_readers(shared: &Arc<Shared>, fetcher: Fetcher) -> Result<(), Fault> {
     let clients = Arc::clone(shared);
     link::spawn_reader("clients", Arc::clone(&shared.clients), move |bytes, _| {
-        clients.client(bytes);
+        clients.handle_client_packet(bytes);
     })?;
     let messages = Arc::clone(shared);
     link::spawn_reader("messages", shared.link.socket(), move |bytes, from| {
-        messages.message(bytes, from, &fetcher);
+        messages.handle_message(bytes, from, &fetcher);
     })?;
     Ok(())
 }
@@ -289,7 +289,7 @@
         self.core().is_ready(now)
     }
 
-    fn client(&self, bytes: &[u8]) {
+    fn handle_client_packet(&self, bytes: &[u8]) {
         *lock(&self.last_packet) = self.clock.now();
         match packet::decode(bytes, Direction::ToService) {
             Ok(head) if !head.flags.bounced => {
@@ -300,7 +300,7 @@
         }
     }
 
-    fn message(&self, bytes: &mut [u8], from: Ipv4Addr, fetcher: &Fetcher) {
+    fn handle_message(&self, bytes: &mut [u8], from: Ipv4Addr, fetcher: &Fetcher) {
         let Ok((message, packet)) = wire::decode(bytes) else {
             link::drop_datagram("message");
             return;
@@ -335,7 +335,8 @@
     }
 
     fn handle(&self, event: Event, packet: &[u8]) {
-        // Only messages from other processes request a fetch, and those are handled in `message`.
+        // Only messages from other processes request a fetch, and those are handled in
+        // `handle_message`.
         self.handle_with_fetch(event, packet);
     }
 
