--- a/crates/nutmegkeel_core/src/admission.rs
+++ b/crates/nutmegkeel_core/src/admission.rs
@@ -1,4 +1,5 @@
-//! Limits of one backend server: slots, open flows, and a queue that admits only what can finish.
+//! Admission control for one backend server: a concurrency limit and a queue that admits only
+//! requests that can finish before their deadline.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,27 +10,27 @@
 use crate::clock::Time;
 use crate::retry;
 
-/// Number of a request at one agent.
+/// Identifies a request at one agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Id(pub u64);
 
-/// Why a request was refused. None of these has run.
+/// Why a request was refused. A refused request has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reason {
     /// The queue is full, or the request could not finish before its deadline.
     Busy,
-    /// Its deadline passed while it waited.
+    /// The request can no longer finish before its deadline.
     Late,
-    /// The backend server is leaving or not there.
+    /// The backend server is not available.
     Unavailable,
 }
 
-/// What the gate decided.
+/// A decision of the gate about one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decision {
     /// Send it to the backend server now.
     Start(Id),
-    /// Final answer: not run, ask again after so many milliseconds.
+    /// Refuse it without running it; the caller may retry after this number of milliseconds.
     Refuse(Id, Reason, u64),
 }
 
@@ -40,7 +41,8 @@
     deadline: Time,
 }
 
-/// Counts what was sent to the backend server and decides what starts, waits or is refused.
+/// Counts the requests in progress at the backend server and decides which requests start, wait
+/// or are refused.
 #[derive(Debug)]
 pub struct Gate {
     slots: u32,
@@ -53,14 +55,15 @@
 }
 
 impl Gate {
-    /// A queue holds at most so many requests per slot.
+    /// Maximum number of queued requests per request that may be in progress.
     const QUEUE_PER_SLOT: usize = 16;
-    /// The limit never falls below this share of the slots.
+    /// Lower bound of the limit, in percent of the slots.
     const LEAST_PERCENT: u64 = 10;
-    /// Growth of the limit with each answer that was not shed.
+    /// Growth of the limit per request that the backend server did not shed, in percent of the
+    /// slots.
     const GROW_PERCENT: u64 = 1;
 
-    /// A gate before a backend server with `slots` slots.
+    /// Creates the gate of a backend server with `slots` slots.
     #[must_use]
     pub fn open(slots: u32, seed: u64) -> Self {
         Self {
@@ -79,19 +82,19 @@
         self.ramp_percent = percent;
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     #[must_use]
     pub fn busy(&self) -> u32 {
         u32::try_from(self.running.len()).unwrap_or(u32::MAX)
     }
 
-    /// Requests waiting.
+    /// Number of requests waiting in the queue.
     #[must_use]
     pub fn queued(&self) -> u32 {
         u32::try_from(self.queue.len()).unwrap_or(u32::MAX)
     }
 
-    /// Requests that may be in progress now; at least one, at most the slots.
+    /// Number of requests that may be in progress now: at least one, at most the number of slots.
     #[must_use]
     pub fn limit(&self) -> usize {
         let percent = self.limit_percent.min(self.ramp_percent);
@@ -99,7 +102,7 @@
         usize::try_from(limit).unwrap_or(usize::MAX)
     }
 
-    /// A request arrives. Decides at once, or returns nothing while the request waits.
+    /// Handles a new request: returns a decision, or `None` if the request was queued.
     pub fn arrive(&mut self, now: Time, id: Id, deadline: Time) -> Option<Decision> {
         if self.queue.is_empty() && self.running.len() < self.limit() {
             self.start(now, id);
@@ -113,7 +116,9 @@
         None
     }
 
-    /// A request that started is over. `shed` says that the backend server turned it away.
+    /// Handles the end of a started request; `shed` tells whether the backend server rejected it.
+    ///
+    /// A shed request halves the limit, any other one raises it by a constant step.
     pub fn finish(&mut self, now: Time, id: Id, shed: bool) -> Vec<Decision> {
         let Some(started) = self.running.remove(&id) else {
             return Vec::new();
@@ -127,19 +132,19 @@
         self.pull(now)
     }
 
-    /// The caller gave up: frees the slot or the place in the queue.
+    /// Handles a request that its caller cancelled: frees its slot or its place in the queue.
     pub fn cancel(&mut self, now: Time, id: Id) -> Vec<Decision> {
         self.queue.retain(|waiting| waiting.id != id);
         self.running.remove(&id);
         self.pull(now)
     }
 
-    /// Refuses what waits and can no longer finish in time, and starts what can.
+    /// Refuses queued requests that can no longer finish in time and starts those that fit.
     pub fn tick(&mut self, now: Time) -> Vec<Decision> {
         self.pull(now)
     }
 
-    /// Time of arrival of the request that has waited longest.
+    /// Returns the arrival time of the oldest queued request.
     #[must_use]
     pub fn oldest(&self) -> Option<Time> {
         self.queue.front().map(|waiting| waiting.arrived)
@@ -167,7 +172,8 @@
         decisions
     }
 
-    /// A request that cannot finish any more gets its final answer now, not at its deadline.
+    /// Refuses queued requests that can no longer finish before their deadline, so that their
+    /// callers are answered now and not when the deadline passes.
     fn give_up_late(&mut self, now: Time) -> Vec<Decision> {
         let service_ms = self.service.most_us() / 1_000;
         let (late, waiting): (VecDeque<_>, VecDeque<_>) =
@@ -191,8 +197,8 @@
     }
 }
 
-/// Smoothed service time and its smoothed deviation, in microseconds, weighted as TCP weights its
-/// round trips (RFC 6298, section 2).
+/// Estimate of the service time: smoothed mean and deviation in microseconds, weighted like the
+/// round-trip time of TCP (RFC 6298, section 2).
 #[derive(Debug)]
 pub(crate) struct Pace {
     mean_us: u64,
@@ -206,24 +212,27 @@
 }
 
 impl Pace {
-    /// First guess of the service time.
+    /// Mean before the first sample.
     const FIRST_MEAN_US: u64 = 20_000;
-    /// Weight of the newest sample in the mean: one eighth.
+    /// A sample has a weight of one eighth in the mean.
     const MEAN_SHIFT: u32 = 3;
-    /// Weight of the newest sample in the deviation: one quarter.
+    /// A sample has a weight of one quarter in the deviation.
     const DEVIATION_SHIFT: u32 = 2;
 
-    /// A time within which nearly every request is done. The mean alone is not enough: of the
-    /// requests that start with just the mean left, half miss their deadline and waste their slot.
+    /// Returns the time within which nearly every request is done.
+    ///
+    /// The mean alone is too short: of the requests that start with only the mean left before
+    /// their deadline, half miss it and waste their slot.
     pub(crate) const fn most_us(&self) -> u64 {
         self.mean_us + 2 * self.deviation_us
     }
 
-    /// The time of a request, on the mean.
+    /// Returns the mean service time.
     pub(crate) const fn mean_us(&self) -> u64 {
         self.mean_us
     }
 
+    /// Adds the service time of one request.
     pub(crate) fn learn(&mut self, sample_ms: u64) {
         let sample_us = sample_ms * 1_000;
         let off_us = sample_us.abs_diff(self.mean_us);
--- a/crates/nutmegkeel_core/src/agent.rs
+++ b/crates/nutmegkeel_core/src/agent.rs
@@ -1,4 +1,5 @@
-//! The agent's decisions: which packets are its own, what its backend server is given, when to go.
+//! State machine of an agent: accepts or forwards new flows, admits requests to its backend
+//! server, and takes part in membership.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,77 +18,80 @@
 use crate::reply::Paths;
 use crate::retry::Budget;
 
-/// How long the key of an opened flow is remembered for repeats of its opening, in milliseconds.
+/// How long the decision about an opening is kept for its retransmissions, in milliseconds.
 const OPENING_MS: u64 = 10_000;
-/// Openings remembered at most.
+/// Maximum number of openings whose decision is kept.
 const MOST_OPENINGS: usize = 8_192;
-/// A leaving agent stays at least so long, so that its peers hear of it, in milliseconds.
+/// Minimum time that a leaving agent goes on running so that its peers learn that it leaves, in
+/// milliseconds.
 pub const LINGER_MS: u64 = 500;
-/// Passes of one opening from agent to agent at most.
+/// Maximum number of times that one opening is passed on from agent to agent.
 pub const MOST_PASSES: u8 = 2;
 
-/// An opening packet as it reached the agent.
+/// The first packet of a flow as it reaches an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Opening {
     /// Key of the flow.
     pub key: Key,
-    /// The next choice that the balancer named.
+    /// The second choice of the balancer.
     pub next: Option<Hop>,
-    /// How often it was passed on already.
+    /// Number of times that it was passed on from agent to agent.
     pub passes: u8,
-    /// Whether the balancer wants this agent spared.
+    /// Whether the balancer prefers the second choice because this agent is more loaded.
     pub spares: bool,
 }
 
 impl Opening {
-    /// The opening of a flow as a balancer sends it to the choice's first agent.
+    /// Creates the opening that a balancer sends to the first agent of `choice`.
     #[must_use]
     pub const fn open(key: Key, choice: &Choice) -> Self {
         Self { key, next: choice.next, passes: 0, spares: choice.spares_first }
     }
 
-    /// The opening as `by` passes it on.
+    /// Returns the opening as it is passed on to another agent; `by` is the agent that passes it
+    /// on and becomes the second choice.
     #[must_use]
     pub const fn passed_on(self, by: Hop) -> Self {
         Self { next: Some(by), passes: self.passes + 1, spares: false, ..self }
     }
 }
 
-/// What happens to an agent.
+/// Input of an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
-    /// The backend server announced what it can take.
+    /// The backend server announced its capacity.
     Announced(Capacity),
-    /// The backend server is draining, or the operator wants it to leave.
+    /// The backend server is draining, or an operator drains it.
     Leave,
-    /// A packet that opens a flow.
+    /// The first packet of a flow arrived.
     Opening(Opening),
     /// A flow was accepted.
     FlowOpened,
-    /// A flow is over.
+    /// A flow was closed.
     FlowClosed,
-    /// A request arrived on a flow; its deadline is a point in time.
+    /// A request with this deadline arrived on a flow.
     Request(Id, Time),
-    /// The backend server can be reached for this request, which needs a claim first.
+    /// A connection to the backend server is available for this request, which needs a claim
+    /// before it is sent.
     Claim(Id, Name),
-    /// The group of claims in flight was answered.
+    /// The outcomes of the claims in flight, in their order.
     Written(Vec<Outcome>),
-    /// A request is over; true when the backend server shed it.
+    /// A request ended; true if the backend server shed it.
     Finished(Id, bool),
-    /// The caller gave up on a request.
+    /// The caller cancelled a request.
     Cancelled(Id),
-    /// A message of a peer.
+    /// A peer sent a message.
     Message(SocketAddr, Message),
-    /// Time passes; about every 50 ms.
+    /// The clock advanced; sent about every 50 ms.
     Tick,
 }
 
-/// What an agent's driver does.
+/// Output of an agent, carried out by its driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
-    /// Hand the opening packet to the transport.
+    /// Deliver the opening packet to the local transport.
     Deliver,
-    /// Send the opening packet on to another agent.
+    /// Pass the opening packet on to another agent.
     PassOn(Hop),
     /// Start or refuse a request.
     Decided(Decision),
@@ -95,17 +99,17 @@
     Write(Vec<Claim>),
     /// Run or refuse a request that needed a claim.
     Settled(Settled),
-    /// The life cycle moved on.
+    /// The agent entered another phase.
     Entered(Phase),
     /// See [`peer::Action`].
     Peer(peer::Action),
 }
 
-/// What became of an opening, for its copies.
+/// Decision about an opening, kept for its retransmissions.
 #[derive(Clone, Copy, Debug)]
 struct Way {
     since: Time,
-    /// The agent it was passed on to; none if it was taken.
+    /// The agent that it was passed on to; `None` if this agent accepted it.
     passed_to: Option<Hop>,
 }
 
@@ -126,7 +130,7 @@
 }
 
 impl Agent {
-    /// An agent whose backend server has not announced itself yet.
+    /// Creates an agent whose backend server has not announced itself yet.
     #[must_use]
     pub fn open(me: Record, capacity: Capacity, pace: Pace, seed: u64) -> Self {
         Self {
@@ -144,47 +148,47 @@
         }
     }
 
-    /// The peers and the configuration.
+    /// Returns the view of the peers and the configuration.
     #[must_use]
     pub const fn peer(&self) -> &Peer {
         &self.peer
     }
 
-    /// The stage as peers see it.
+    /// Returns the current phase.
     #[must_use]
     pub const fn phase(&self) -> Phase {
         self.stage.phase()
     }
 
-    /// What the agent counts of its backend server.
+    /// Returns the load of the backend server as counted by the agent.
     #[must_use]
     pub fn report(&self) -> Report {
         Report { connections: self.flows, busy: self.gate.busy(), queued: self.gate.queued() }
     }
 
-    /// Where and as which run this agent is reached.
+    /// Returns the address and instance of this agent.
     #[must_use]
     pub const fn hop(&self) -> Hop {
         let me = self.peer.membership().me();
         Hop { address: me.address, instance: me.instance }
     }
 
-    /// A caller's packet came by a balancer.
+    /// Records that a packet of `caller` arrived through the balancer `via`.
     pub fn heard_caller(&mut self, now: Time, caller: SocketAddr, via: SocketAddr) {
         self.paths.heard(now, caller, via);
     }
 
-    /// The balancer to answer a caller through.
+    /// Returns the balancer through which to answer a caller.
     pub fn way(&mut self, now: Time, caller: SocketAddr) -> Option<SocketAddr> {
         self.paths.way(now, caller, self.peer.balancers())
     }
 
-    /// Takes one retry of an idempotent request out of the budget; false when none is left.
+    /// Spends one retry of an idempotent request from the budget; returns false if none is left.
     pub fn spend_retry(&mut self) -> bool {
         self.retries.spend()
     }
 
-    /// Takes in one event.
+    /// Handles one event.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Announced(capacity) => self.announced(now, capacity),
@@ -226,15 +230,16 @@
         actions
     }
 
-    /// Decides at the last hop, whatever the balancers have heard.
+    /// Accepts an opening or passes it on to the second choice.
     ///
-    /// Guards against new work at a leaving backend server, and against a flow that is opened
-    /// twice when two balancers see different loads: an opening that this agent holds stays; one
-    /// that it cannot take, or is to be spared, goes on to the next choice, and its copies follow.
+    /// The agent decides because balancers may not know yet that it is leaving or full. An opening
+    /// that it accepted stays here. One that it cannot accept, or for which the balancer prefers
+    /// the second choice, is passed on, and so are its retransmissions. Otherwise a flow would be
+    /// opened at two agents when two balancers see different loads.
     fn opening(&mut self, now: Time, opening: Opening) -> Action {
         match self.openings.get(&opening.key).map(|way| way.passed_to) {
             Some(None) => return Action::Deliver,
-            // A balancer that names another agent knows that the earlier one has gone.
+            // If the balancer names another second choice, the earlier one is gone.
             Some(Some(hop)) if opening.passes == 0 && opening.next == Some(hop) => {
                 return Action::PassOn(hop);
             }
@@ -249,7 +254,7 @@
         passed_to.map_or(Action::Deliver, Action::PassOn)
     }
 
-    /// Whether a new flow may be accepted.
+    /// Returns whether a new flow may be accepted.
     #[must_use]
     pub fn takes_new(&self) -> bool {
         self.phase().takes_new() && self.flows < self.capacity.connections
@@ -278,7 +283,7 @@
 
     fn claim(&mut self, id: Id, name: Name) -> Vec<Action> {
         let claim = Claim { name, owner: self.hop(), id };
-        // A request that is over already must not run: its deadline lies at the origin.
+        // A request that has already ended must not run: the default deadline is in the past.
         let deadline = self.requests.get(&id).copied().unwrap_or_default();
         self.ledger.ask(claim, deadline);
         self.write_group()
@@ -333,7 +338,8 @@
         actions
     }
 
-    /// Flows and requests that keep a leaving agent from ending.
+    /// Returns the number of flows and requests that a leaving agent must wait for, plus one until
+    /// [`LINGER_MS`] have passed.
     fn open_work(&self, now: Time) -> usize {
         let lingers = match &self.stage {
             Stage::Leaving(life) => now.since(life.since()) < LINGER_MS,
--- a/crates/nutmegkeel_core/src/balancer.rs
+++ b/crates/nutmegkeel_core/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer's decisions: places new flows, watches peers, keeps the configuration.
+//! State machine of a balancer: places new flows, monitors peers and keeps the configuration.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,42 +15,43 @@
 use crate::peer::{self, Message, Peer};
 use crate::placement::{Candidate, Choice, Hop, Key, Pool, Rule};
 
-/// An agent that was sent a new flow and said nothing for so long is probed, in milliseconds.
+/// An agent that was sent a new flow and has not answered for this time is probed, in
+/// milliseconds.
 const UNANSWERED_MS: u64 = 400;
-/// Balancers of a failure domain that read the platform.
+/// Number of balancers per failure domain that read the platform.
 const READERS: usize = 2;
-/// Between two reads of the platform by one reader, in milliseconds.
+/// Interval between two reads of the platform by one balancer, in milliseconds.
 const READ_EVERY_MS: u64 = 500;
-/// Between two reads when no peer of the own domain is known yet, so a newcomer reads at once.
+/// Time of the first read: a balancer that has just started reads at its first tick.
 const FIRST_READ: Time = Time::ZERO;
 
-/// What happens to a balancer.
+/// Input of a balancer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
-    /// The first packet of a flow that carries no routing token.
+    /// The first packet of a flow, which carries no routing token, arrived.
     Opening(class::Name, Key),
-    /// An agent answered a flow and told its load.
+    /// An agent answered a flow and reported its load.
     Heard(Hop, Report),
-    /// A message of a peer.
+    /// A peer sent a message.
     Message(SocketAddr, Message),
-    /// The platform was read.
+    /// The configuration was read from the platform.
     Read(Vec<Entry>),
-    /// The platform accepted a write that came by this balancer.
+    /// The platform accepted a write that this balancer sent.
     Accepted(Entry),
-    /// Time passes; about every 50 ms.
+    /// The clock advanced; sent about every 50 ms.
     Tick,
-    /// An operator wants this run of another process to leave.
+    /// An operator drains this instance of another process.
     Drain(Hop),
-    /// Stop in a planned way.
+    /// This balancer is to stop in a planned way.
     Leave,
 }
 
-/// What a balancer's driver does.
+/// Output of a balancer, carried out by its driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
-    /// Send the opening packet to the first choice, naming the next.
+    /// Send the opening packet to the first choice, with the second choice in its header.
     Forward(Choice),
-    /// No agent of the class takes new flows.
+    /// No agent of the class accepts new flows.
     Unplaced,
     /// Read the configuration from the platform.
     Read,
@@ -71,7 +72,7 @@
 }
 
 impl Balancer {
-    /// A balancer that knows only itself.
+    /// Creates a balancer that knows only itself.
     #[must_use]
     pub fn open(me: Record, pace: Pace, rule: Rule, seed: u64) -> Self {
         Self {
@@ -85,24 +86,24 @@
         }
     }
 
-    /// The peers and the configuration.
+    /// Returns the view of the peers and the configuration.
     #[must_use]
     pub const fn peer(&self) -> &Peer {
         &self.peer
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration in force at this balancer.
     #[must_use]
     pub const fn book(&self) -> &Book {
         self.peer.book()
     }
 
-    /// How much this balancer knows of the configuration.
+    /// Returns whether this balancer has the whole configuration.
     ///
-    /// Guards against an operator who is told that a class does not exist by a balancer which only
-    /// does not know it: one that started while the platform was away, or that a change is still on
-    /// its way to. Every message tells its sender's revision, so such a balancer knows that it lacks
-    /// something before it has it.
+    /// Guards against an operator being told that a class does not exist by a balancer that has
+    /// not received it yet: one that started while the platform was unavailable, or one that a
+    /// change has not reached. Every message carries the configuration revision of its sender, so
+    /// a balancer knows that it lacks a change before it receives it.
     #[must_use]
     pub fn standing(&self) -> Standing {
         let held = self.book().revision();
@@ -116,13 +117,13 @@
         }
     }
 
-    /// Agents of a class that take new flows.
+    /// Returns the number of agents of a class that accept new flows.
     #[must_use]
     pub fn takers(&self, class: &str) -> usize {
         self.pools.get(class).map_or(0, Pool::len)
     }
 
-    /// Takes in one event.
+    /// Handles one event.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Opening(class, key) => vec![self.place(now, &class, key)],
@@ -180,7 +181,9 @@
         actions
     }
 
-    /// Death of an agent shows first on the data path: new flows that it does not answer.
+    /// Probes agents that left new flows unanswered for [`UNANSWERED_MS`].
+    ///
+    /// The failure of an agent shows on the data path before its turn to be probed comes.
     fn doubt_silent(&mut self, now: Time) -> Vec<peer::Action> {
         let silent: Vec<SocketAddr> = self
             .unanswered
@@ -196,10 +199,11 @@
         actions
     }
 
-    /// Whether this balancer is one of its failure domain's few readers of the platform.
+    /// Returns whether this balancer is one of the [`READERS`] of its failure domain that read the
+    /// platform.
     ///
-    /// Guards the platform's read rate: it grows with the number of failure domains, not with the
-    /// fleet. Everybody else hears of changes from peers.
+    /// The read rate at the platform then grows with the number of failure domains and not with
+    /// the number of balancers. All other balancers receive changes from their peers.
     fn reads_platform(&self) -> bool {
         let me = self.peer.membership().me().address;
         self.peer.neighbours().range(..me).take(READERS).count() < READERS
--- a/crates/nutmegkeel_core/src/change.rs
+++ b/crates/nutmegkeel_core/src/change.rs
@@ -1,4 +1,4 @@
-//! One operator's change of one class: a single compare-and-swap, with lost answers resolved.
+//! State machine of one change of one class: a compare-and-swap that resolves lost answers.
 
 use std::sync::Arc;
 
@@ -8,73 +8,74 @@
 use crate::clock::Time;
 use crate::configuration::{Entry, Revision};
 
-/// Identity of a change, chosen by the operator's client; a repeat with the same one is harmless.
+/// Identifies a change. The operator's client chooses it, and a repeated request with the same
+/// identifier has no further effect.
 pub type Id = Arc<str>;
 
-/// Identities of earlier changes kept inside a value.
+/// Maximum number of change identifiers kept in a value.
 const REMEMBERED: usize = 16;
-/// Pause before the platform is asked again after it failed, in milliseconds.
+/// Pause before the next attempt after a failed call to the platform, in milliseconds.
 pub const PAUSE_MS: u64 = 200;
 
-/// What the platform holds for a class.
+/// The value that the platform stores for a class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Value {
-    /// The target, or none when the class was removed.
+    /// The target, or `None` if the class was removed.
     pub target: Option<class::Target>,
-    /// Identities of the newest changes, the newest first.
+    /// Identifiers of the latest changes, newest first.
     pub changes: Vec<Id>,
 }
 
-/// A value and the revision of its write.
+/// A value and the revision at which it was written.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored {
     /// The value.
     pub value: Value,
-    /// Revision of its write.
+    /// Revision of the write.
     pub revision: Revision,
 }
 
-/// What an operator asks for.
+/// The change that an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// Identity of the change.
+    /// Identifier of the change.
     pub id: Id,
-    /// The class.
+    /// Name of the class.
     pub class: class::Name,
-    /// The new target, or none to remove the class.
+    /// The new target, or `None` to remove the class.
     pub target: Option<class::Target>,
-    /// The revision that the operator saw, zero for a new class; none to replace whatever is there.
+    /// The revision that the operator saw, zero for a new class; `None` to replace any revision.
     pub expected: Option<Revision>,
 }
 
-/// What the platform said.
+/// Result of a call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
-    /// The class was read; none when it does not exist.
+    /// The class was read; `None` if it does not exist.
     Read(Option<Stored>),
     /// The compare-and-swap took effect at this revision.
     Swapped(Revision),
     /// The comparison failed; nothing was written.
     Differs,
-    /// The call surely did not reach the platform.
+    /// The call did not reach the platform.
     NotSent,
-    /// No answer came: the call may have taken effect.
+    /// No answer arrived; the call may have taken effect.
     Lost,
 }
 
-/// What the driver does next.
+/// The next step, carried out by the driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
     /// Read the class.
     Read,
-    /// Write the value if the class is still at this revision (zero: does not exist).
+    /// Write the value if the class is still at this revision (zero: the class does not exist).
     Swap(Revision, Value),
-    /// Wait, then read the class.
+    /// Wait for this number of milliseconds, then read the class.
     ReadLater(u64),
-    /// The change was accepted and is written.
+    /// The change was written.
     Accepted(Entry),
-    /// Another operator won; nothing of this change was written. Tells the revision it lost to.
+    /// Another change at this revision was written first; nothing of this one was written.
     Conflict(Revision),
     /// The platform did not answer in time, and nothing was written.
     NotRun,
@@ -92,14 +93,14 @@
 }
 
 impl Change {
-    /// Begins a change that must be settled by `deadline`.
+    /// Begins a change that must end by `deadline`.
     #[must_use]
     pub const fn begin(request: Request, deadline: Time) -> (Self, Action) {
         let change = Self { request, deadline, swapped_at: None, in_doubt: false };
         (change, Action::Read)
     }
 
-    /// The next step after what the platform said.
+    /// Returns the next step after the result of a call.
     pub fn handle(&mut self, now: Time, event: Event) -> Action {
         match event {
             Event::Read(stored) => self.read(stored),
@@ -113,17 +114,17 @@
         }
     }
 
-    /// Decides from what is stored.
+    /// Handles the result of a read.
     ///
-    /// Guards against an answer lost after the write took effect: the change's identity inside the
-    /// value, or among the earlier ones it remembers, shows that it was written, so it is neither
-    /// written twice nor reported as failed.
+    /// Guards against a change that is written twice or reported as failed because the answer to
+    /// its write was lost: the stored value holds the identifiers of the latest changes, which show
+    /// that it was written.
     fn read(&mut self, stored: Option<Stored>) -> Action {
         let revision = stored.as_ref().map_or(Revision(0), |stored| stored.revision);
         let target = stored.as_ref().and_then(|stored| stored.value.target.clone());
         let changes = stored.map_or_else(Vec::new, |stored| stored.value.changes);
         if changes.contains(&self.request.id) {
-            // A later change may stand there already; what is in force is what is stored.
+            // A later change may have replaced this one; the stored target is the one in force.
             return self.accepted(revision, target);
         }
         let expected = self.swapped_at.or(self.request.expected);
--- a/crates/nutmegkeel_core/src/claim.rs
+++ b/crates/nutmegkeel_core/src/claim.rs
@@ -1,7 +1,9 @@
-//! At most once for keyed requests: a claim in the platform's service before the first byte is sent.
+//! At-most-once execution of requests with an idempotency key: an agent creates a claim in the
+//! platform's store before it sends the first byte of the request.
 //!
-//! A claim is created once and never handed over, so a second agent that meets the same key, a
-//! restarted one included, cannot run it. Claims travel in groups, one write in flight per agent.
+//! A claim is created once and never transferred, so no other agent, nor the same agent after a
+//! restart, can run a request with the same key. Claims are written in batches; each agent has at
+//! most one batch in flight.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,62 +15,65 @@
 use crate::clock::Time;
 use crate::placement::Hop;
 
-/// How long the platform keeps a claim at least, in milliseconds. A key is run at most once if its
-/// caller repeats it within this time less the longest deadline ([`crate::class::Target`]).
+/// Minimum time for which the platform keeps a claim, in milliseconds. A request is run at most
+/// once if all its repeats arrive within this time less the longest deadline
+/// ([`crate::class::Target`]).
 pub const KEPT_MS: u64 = 3_600_000;
-/// Claims in one write at most; the usual bound of a transaction's operations is 128.
+/// Maximum number of claims in one write; the usual limit of operations per transaction is 128.
 pub const GROUP: usize = 64;
 
-/// Name of a claim in the platform's service: the class and the hash of the caller's key.
+/// Name of a claim in the platform's store: the class and the hash of the idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Name(pub Arc<str>);
 
 impl Name {
-    /// The claim's name for a caller's `Idempotency-Key` in a class.
+    /// Returns the name of the claim for an `Idempotency-Key` in a class.
     #[must_use]
     pub fn of(class: &class::Name, key: &[u8]) -> Self {
         Self(format!("{class}/{}", blake3::hash(key).to_hex()).into())
     }
 }
 
-/// One claim to be written. The owner and the number are its identity: an answer that was lost
-/// after the write took effect is resolved by reading the claim back and comparing them.
+/// One claim to be written.
+///
+/// The owner and the request identify who wrote it: after a lost answer the claim is read back,
+/// and both are compared.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// Name of the claim.
     pub name: Name,
-    /// The agent that asks.
+    /// The agent that creates the claim.
     pub owner: Hop,
-    /// The request it asks for.
+    /// The request that needs the claim.
     pub id: Id,
 }
 
-/// What became of a claim.
+/// Result of writing a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Created for this request: it may run.
+    /// The claim was created for this request, which may run.
     Ours,
-    /// Exists already for another request: that one may have run.
+    /// The claim exists for another request, which may have run.
     Theirs,
-    /// The platform did not say. The claim may exist, so this request must not run and a later
-    /// one with the same key will be told that it may have run, although none has.
+    /// The platform did not answer. The claim may exist, so this request must not run. A later
+    /// request with the same key is then answered with "may have run", although none has run.
     Unknown,
-    /// The platform said that nothing was written.
+    /// The claim was not written.
     NotWritten,
 }
 
-/// What to do with a request once its claim is settled.
+/// Decision about a request after the result of its claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Settled {
     /// Send it to the backend server.
     Run(Id),
-    /// Refuse: not run, ask again.
+    /// Refuse it: it has not run, and the caller may retry.
     NotRun(Id),
-    /// Refuse: the key was claimed before, that request may have run.
+    /// Refuse it: an earlier request has claimed the key and may have run.
     MayHaveRun(Id),
 }
 
-/// The claims of one agent that are not settled.
+/// The claims of one agent that have no result yet.
 #[derive(Debug, Default)]
 pub struct Ledger {
     waiting: Vec<Claim>,
@@ -77,19 +82,19 @@
 }
 
 impl Ledger {
-    /// Asks for a claim of a request with this deadline. It goes out with the next group.
+    /// Queues a claim for a request with this deadline. It is written with the next batch.
     pub fn ask(&mut self, claim: Claim, deadline: Time) {
         self.deadlines.insert(claim.id, deadline);
         self.waiting.push(claim);
     }
 
-    /// The caller gave up on a request: forget that it wants to run.
+    /// Removes a request that its caller cancelled, so that it does not run.
     pub fn forget(&mut self, id: Id) {
         self.deadlines.remove(&id);
         self.waiting.retain(|claim| claim.id != id);
     }
 
-    /// The next group to write, when no other is in flight.
+    /// Returns the next batch to write, or `None` if another is in flight or no claim waits.
     pub fn group(&mut self) -> Option<Vec<Claim>> {
         if self.waiting.is_empty() || !self.in_flight.is_empty() {
             return None;
@@ -99,13 +104,13 @@
         Some(self.in_flight.clone())
     }
 
-    /// The group in flight was answered, one outcome for each claim in order.
+    /// Handles the outcomes of the batch in flight, one for each claim in order.
     ///
-    /// Guards against an agent that was paused while its claim, or an earlier one of the same key,
-    /// lapsed: the agent's own clock is read when it is about to act, and past the request's
-    /// deadline nothing is run. Deadlines are counted from the request's arrival and are far
-    /// shorter than [`KEPT_MS`]. Without the guard a second request with the same key could claim
-    /// and run while the paused one wakes and runs too; the model `at_most_once` shows both.
+    /// Guards against a request that runs twice because its agent was paused for longer than the
+    /// platform keeps a claim: a second request with the same key could claim and run, and the
+    /// paused agent would run the first one when it resumes. A request is therefore not run after
+    /// its deadline, by the clock at the time of this call. Deadlines start with the arrival of the
+    /// request and are far shorter than [`KEPT_MS`]. The model `at_most_once` checks both cases.
     pub fn written(&mut self, now: Time, outcomes: &[Outcome]) -> Vec<Settled> {
         let group = std::mem::take(&mut self.in_flight);
         group
--- a/crates/nutmegkeel_core/src/class.rs
+++ b/crates/nutmegkeel_core/src/class.rs
@@ -1,18 +1,18 @@
-//! A class of work: its name, its identity on the wire and the targets an operator sets for it.
+//! A class of work: its name, its identifier on the wire and the targets that operators set.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// The name of a class, such as `intake`.
+/// Name of a class, such as `intake`.
 pub type Name = Arc<str>;
 
-/// Identity of a class inside frames and connection IDs: the first 64 bits of the name's hash.
+/// Identifier of a class in frames and connection IDs: the first 64 bits of the hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id(u64);
 
 impl Id {
-    /// Identity of the class called `name`.
+    /// Returns the identifier of the class with this name.
     #[must_use]
     pub fn of(name: &str) -> Self {
         let hash = blake3::hash(name.as_bytes());
@@ -21,27 +21,27 @@
         Self(u64::from_be_bytes(first))
     }
 
-    /// The identity as a plain number, for hashing.
+    /// Returns the identifier as a number, for hashing.
     #[must_use]
     pub const fn number(self) -> u64 {
         self.0
     }
 }
 
-/// Longest deadline of a request, in milliseconds, whether the caller or the class states it.
+/// Maximum deadline of a request, in milliseconds, whether the caller or the class sets it.
 pub const MOST_DEADLINE_MS: u64 = 600_000;
 
-/// The targets of one class. Operators state these and nothing else (brief, "The product").
+/// The targets of one class, which are all that operators configure for it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Busiest backend server over the mean, in percent; 110 means at most 10% above the mean.
+    /// Maximum load of a backend server in percent of the mean; 110 allows 10% above the mean.
     pub imbalance_percent: u32,
-    /// Within how many milliseconds a leaving backend server must stop taking new calls.
+    /// Maximum time until a leaving backend server gets no new calls, in milliseconds.
     pub leave_within_ms: u64,
-    /// Within how many milliseconds a change must be in force on every balancer.
+    /// Maximum time until a change is in force on every balancer, in milliseconds.
     pub settle_within_ms: u64,
-    /// Deadline, in milliseconds, of a request that states none.
+    /// Deadline of a request that sets none, in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Why a target was refused; names the field and the allowed range.
+/// A field of a target that is outside its allowed range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("class target field `{field}` is {value}; allowed are {least} to {most}")]
 pub struct OutOfRange {
@@ -64,14 +64,14 @@
     pub field: &'static str,
     /// The value given.
     pub value: u64,
-    /// Smallest value allowed.
+    /// Minimum allowed value.
     pub least: u64,
-    /// Largest value allowed.
+    /// Maximum allowed value.
     pub most: u64,
 }
 
 impl Target {
-    /// Checks every field against its range and returns all faults at once.
+    /// Returns all fields that are outside their allowed range.
     #[must_use]
     pub fn faults(&self) -> Vec<OutOfRange> {
         let bounds = [
--- a/crates/nutmegkeel_core/src/configuration.rs
+++ b/crates/nutmegkeel_core/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration as every process holds it. A revision never goes back.
+//! The operators' configuration as each process holds it. Its revision never decreases.
 
 use std::collections::BTreeMap;
 
@@ -6,34 +6,34 @@
 
 use crate::class;
 
-/// Revision that the platform's service gave to a write.
+/// Revision that the platform's store assigned to a write.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Revision(pub u64);
 
-/// One class as accepted at a revision. A removed class stays as an entry without a target.
+/// One class as written at a revision. A removed class stays as an entry without a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Name of the class.
     pub name: class::Name,
     /// Revision of the write.
     pub revision: Revision,
-    /// The operator's target, or none after removal.
+    /// The operator's target, or `None` after removal.
     pub target: Option<class::Target>,
 }
 
-/// How much a process knows of the configuration.
+/// Whether a process has the whole configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Standing {
-    /// Nothing: it has not read the platform and holds no entry.
+    /// Unknown: the process has not read the platform and holds no entry.
     Unknown,
-    /// Less than another process, which told this revision.
+    /// No: another process has reported this higher revision.
     Behind(Revision),
-    /// All that it has heard of.
+    /// Yes, up to the highest revision that was reported to it.
     Current,
 }
 
-/// All entries known here.
+/// All entries that this process holds, by the name of the class.
 #[derive(Clone, Debug, Default)]
 pub struct Book {
     entries: BTreeMap<class::Name, Entry>,
@@ -41,16 +41,16 @@
 }
 
 impl Book {
-    /// The greatest revision known here.
+    /// Returns the highest revision of all entries.
     #[must_use]
     pub const fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Takes in an entry; true when it is newer than what was known.
+    /// Applies an entry and returns true if it is newer than the one held.
     ///
-    /// Guards against a configuration that reverts: peers and platform readers deliver entries in
-    /// any order, and an older one must not undo a newer one that is in force.
+    /// Guards against a configuration that reverts: entries from peers and from the platform
+    /// arrive in any order, and an older one must not replace a newer one that is in force.
     pub fn learn(&mut self, entry: Entry) -> bool {
         let known = self.entries.get(&entry.name).map_or(Revision(0), |held| held.revision);
         if entry.revision <= known {
@@ -63,13 +63,13 @@
         true
     }
 
-    /// The target in force for a class.
+    /// Returns the target in force for a class.
     #[must_use]
     pub fn target(&self, name: &str) -> Option<&class::Target> {
         self.entries.get(name).and_then(|entry| entry.target.as_ref())
     }
 
-    /// Entries newer than `since`, in the order of their revisions.
+    /// Returns the entries newer than `since`, ordered by revision.
     #[must_use]
     pub fn newer(&self, since: Revision) -> Vec<Entry> {
         let mut newer: Vec<Entry> =
@@ -78,7 +78,7 @@
         newer
     }
 
-    /// All entries by name.
+    /// Returns all entries, ordered by name.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
--- a/crates/nutmegkeel_core/src/ended.rs
+++ b/crates/nutmegkeel_core/src/ended.rs
@@ -1,34 +1,34 @@
-//! Which runs of agents are over, so that their flows get a reset instead of silence.
+//! Instances of agents that have ended, so that their flows are reset instead of left unanswered.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use crate::member::Instance;
 
-/// The latest run known to be over at each address; all earlier ones are over too.
+/// The latest instance known to have ended at each address. All earlier ones have ended too.
 #[derive(Clone, Debug, Default)]
 pub struct Ended {
     latest: BTreeMap<SocketAddr, Instance>,
 }
 
 impl Ended {
-    /// A run is over.
+    /// Marks an instance as ended.
     pub fn note_gone(&mut self, address: SocketAddr, instance: Instance) {
         let latest = self.latest.entry(address).or_insert(instance);
         *latest = instance.max(*latest);
     }
 
-    /// A run lives, whatever was believed before.
+    /// Marks an instance as alive, even if it was marked as ended before.
     ///
-    /// Guards against flows that are reset for ever: a process that was given up in error and
-    /// refuted goes on under the same instance number, and its callers with it.
+    /// Guards against flows that are reset forever: a process that was wrongly declared dead and
+    /// refuted that keeps its instance number and its flows.
     pub fn note_living(&mut self, address: SocketAddr, instance: Instance) {
         if self.is_gone(address, instance) {
             self.latest.insert(address, Instance::new(instance.number().saturating_sub(1)));
         }
     }
 
-    /// Whether this run is known to be over.
+    /// Returns whether an instance is known to have ended.
     #[must_use]
     pub fn is_gone(&self, address: SocketAddr, instance: Instance) -> bool {
         self.latest.get(&address).is_some_and(|latest| instance <= *latest)
--- a/crates/nutmegkeel_core/src/lib.rs
+++ b/crates/nutmegkeel_core/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decisions of the load balancer: typed events and a time go in, typed actions come out.
+//! State machines of the load balancer: they take typed events and a time and return typed actions.
 //!
-//! Nothing here opens a socket, reads a clock, starts a thread or draws randomness that was not
-//! seeded at `open`. The shells in `nutmegkeel_node` drive these state machines, and so can a bench:
+//! This crate opens no sockets, reads no clock, starts no threads and uses only random numbers from
+//! generators seeded at `open`. The drivers in `nutmegkeel_node` run the state machines; a test or
+//! a benchmark can do so too:
 //!
 //! ```
 //! use nutmegkeel_core::agent::{Action, Agent, Event};
--- a/crates/nutmegkeel_core/src/life.rs
+++ b/crates/nutmegkeel_core/src/life.rs
@@ -1,46 +1,46 @@
-//! Life cycle of a process that serves: announced, warming, serving, leaving, gone.
+//! Life cycle of a serving process: announced, warming, serving, leaving, gone.
 //!
-//! Each stage is a type, so that a transition that skips a stage does not compile.
+//! Each stage is a type, so that an invalid transition does not compile.
 
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Time;
 
-/// How long a backend server warms up after its announcement, in milliseconds.
+/// Duration of the warm-up after the announcement of a backend server, in milliseconds.
 pub const WARM_UP_MS: u64 = 2_000;
 
-/// The stage as peers see it.
+/// The stage as it is sent to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Phase {
-    /// Known, but its backend server has not said what it can take.
+    /// The process is known, but its backend server has not announced its capacity yet.
     Announced,
-    /// Takes work under a limit that grows.
+    /// Accepts work up to a limit that grows.
     Warming,
-    /// Takes work.
+    /// Accepts work up to its full limit.
     Serving,
-    /// Takes no new flow; open flows go on.
+    /// Accepts no new flows; open flows continue.
     Leaving,
-    /// Has ended every flow.
+    /// All flows have ended.
     Gone,
 }
 
 impl Phase {
-    /// Whether a new flow may be placed here.
+    /// Returns whether new flows may be placed at a process in this phase.
     #[must_use]
     pub const fn takes_new(self) -> bool {
         matches!(self, Self::Warming | Self::Serving)
     }
 }
 
-/// Stage before the backend server has announced itself.
+/// Stage before the announcement of the backend server.
 #[derive(Debug, Clone)]
 pub struct Announced;
-/// Stage of a growing limit.
+/// Stage in which the limit grows.
 #[derive(Debug, Clone)]
 pub struct Warming {
     since: Time,
 }
-/// Stage of full service.
+/// Stage with the full limit.
 #[derive(Debug, Clone)]
 pub struct Serving;
 /// Stage in which open flows finish.
@@ -48,24 +48,24 @@
 pub struct Leaving {
     since: Time,
 }
-/// Last stage.
+/// Final stage, after the last flow.
 #[derive(Debug, Clone)]
 pub struct Gone;
 
-/// A life in stage `S`.
+/// A life cycle in stage `S`.
 #[derive(Debug, Clone)]
 pub struct Life<S> {
     stage: S,
 }
 
 impl Life<Announced> {
-    /// A life that has just begun.
+    /// Creates a life cycle in its first stage.
     #[must_use]
     pub const fn begin() -> Self {
         Self { stage: Announced }
     }
 
-    /// The backend server is there: start warming.
+    /// Starts the warm-up after the announcement of the backend server.
     #[must_use]
     pub const fn warm(self, now: Time) -> Life<Warming> {
         Life { stage: Warming { since: now } }
@@ -73,10 +73,11 @@
 }
 
 impl Life<Warming> {
-    /// Share of the full limit in percent, growing from 20 to 100 over [`WARM_UP_MS`].
+    /// Returns the share of the full limit in percent, which grows from 20 to 100 over
+    /// [`WARM_UP_MS`].
     ///
-    /// Guards against a cold start: a backend server that is handed its full share at once answers
-    /// its first requests late or sheds them. A growing limit gives it time.
+    /// Guards against slow cold starts: a backend server that gets its full share of requests at
+    /// once answers the first ones late or sheds them.
     #[must_use]
     pub fn percent(&self, now: Time) -> u64 {
         const FIRST_PERCENT: u64 = 20;
@@ -84,10 +85,10 @@
         (FIRST_PERCENT + grown).min(100)
     }
 
-    /// Full service, once the warm-up has passed.
+    /// Enters full service after the warm-up.
     ///
     /// # Errors
-    /// Gives the life back while it is still warming.
+    /// Returns the life cycle unchanged while the warm-up lasts.
     pub fn serve(self, now: Time) -> Result<Life<Serving>, Self> {
         if now.since(self.stage.since) < WARM_UP_MS {
             return Err(self);
@@ -97,7 +98,7 @@
 }
 
 impl<S> Life<S> {
-    /// Take no new flow from now on.
+    /// Starts leaving: no new flows are accepted from now on.
     #[must_use]
     pub fn leave(self, now: Time) -> Life<Leaving> {
         Life { stage: Leaving { since: now } }
@@ -105,19 +106,19 @@
 }
 
 impl Life<Leaving> {
-    /// When leaving began.
+    /// Returns the time at which leaving began.
     #[must_use]
     pub const fn since(&self) -> Time {
         self.stage.since
     }
 
-    /// The end, once nothing is open.
+    /// Ends the life cycle once no flow or request is open.
     ///
-    /// Guards against a planned stop that cuts a request: with `open` flows left the life cannot
-    /// end, so the process that asks cannot exit.
+    /// Guards against a planned stop that aborts a request: the process cannot exit before this
+    /// transition, and this transition fails while `open` is not zero.
     ///
     /// # Errors
-    /// Gives the life back while flows are open.
+    /// Returns the life cycle unchanged while flows or requests are open.
     pub fn finish(self, open: usize) -> Result<Life<Gone>, Self> {
         if open > 0 {
             return Err(self);
@@ -126,7 +127,7 @@
     }
 }
 
-/// A life in any stage, for owners that hold it over time.
+/// A life cycle in any stage.
 #[derive(Debug, Clone)]
 pub enum Stage {
     /// See [`Announced`].
@@ -142,7 +143,7 @@
 }
 
 impl Stage {
-    /// The stage as peers see it.
+    /// Returns the phase of this stage.
     #[must_use]
     pub const fn phase(&self) -> Phase {
         match self {
@@ -154,7 +155,8 @@
         }
     }
 
-    /// Moves on by itself: warming to serving, leaving to gone.
+    /// Makes the transitions that depend on time and open flows: warming to serving, leaving to
+    /// gone.
     #[must_use]
     pub fn advance(self, now: Time, open: usize) -> Self {
         match self {
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Begins warming when only announced; any other stage stays.
+    /// Starts the warm-up if the stage is announced; any other stage is unchanged.
     #[must_use]
     pub fn warm(self, now: Time) -> Self {
         match self {
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Begins leaving unless that has happened already.
+    /// Starts leaving; a stage that is already leaving or gone is unchanged.
     #[must_use]
     pub fn leave(self, now: Time) -> Self {
         match self {
--- a/crates/nutmegkeel_core/src/load.rs
+++ b/crates/nutmegkeel_core/src/load.rs
@@ -1,14 +1,15 @@
-//! The load of one backend server as its agent counts it.
+//! The load of one backend server as counted by its agent.
 
 use serde::{Deserialize, Serialize};
 
-/// Counted by the agent from what it sent itself; never taken from the backend server's own word.
+/// Load of one backend server. The agent counts what it sent itself and uses no figures reported by
+/// the backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Open flows.
+    /// Number of open flows.
     pub connections: u32,
-    /// Requests in progress at the backend server.
+    /// Number of requests in progress at the backend server.
     pub busy: u32,
-    /// Requests waiting for a slot.
+    /// Number of requests waiting for a slot.
     pub queued: u32,
 }
--- a/crates/nutmegkeel_core/src/member.rs
+++ b/crates/nutmegkeel_core/src/member.rs
@@ -1,4 +1,4 @@
-//! What a process says of itself to its peers.
+//! The record of a process and its health, as exchanged between peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,80 +8,82 @@
 use crate::class;
 use crate::life::Phase;
 
-/// Number of one run of a process at an address; a later run has a greater one.
+/// Instance number of a process at an address. A process that starts later at the same address has
+/// a higher number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Instance(u32);
 
 impl Instance {
-    /// Length of one tick of the instance number, in milliseconds.
+    /// Resolution of the instance number, in milliseconds.
     pub const TICK_MS: u64 = 256;
-    /// 2025-01-01T00:00:00Z in milliseconds; numbers count ticks since then and last 34 years.
+    /// 2025-01-01T00:00:00Z in milliseconds since the Unix epoch. Numbers count ticks since then
+    /// and overflow after 34 years.
     const EPOCH_MS: u64 = 1_735_689_600_000;
 
-    /// The instance with this number.
+    /// Creates the instance with this number.
     #[must_use]
     pub const fn new(number: u32) -> Self {
         Self(number)
     }
 
-    /// The instance number of a process that begins at `unix_ms`.
+    /// Returns the instance number of a process that starts at `unix_ms`.
     ///
-    /// A process must wait for its tick to end before it uses the number, or a successor started
-    /// within the same tick would share it.
+    /// A process must wait for the end of this tick before it uses the number. Otherwise a
+    /// successor started within the same tick would get the same number.
     #[must_use]
     pub fn at(unix_ms: u64) -> Self {
         let ticks = unix_ms.saturating_sub(Self::EPOCH_MS) / Self::TICK_MS;
         Self(u32::try_from(ticks).unwrap_or(u32::MAX))
     }
 
-    /// The plain number.
+    /// Returns the instance as a number.
     #[must_use]
     pub const fn number(self) -> u32 {
         self.0
     }
 }
 
-/// What a process is for.
+/// Role of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// Takes packets from the fabric.
+    /// Receives packets of callers from the fabric.
     Balancer,
-    /// Stands beside a backend server.
+    /// Runs on the host of a backend server and passes requests to it.
     Agent(Capacity),
 }
 
-/// What an agent's backend server can take.
+/// Capacity of an agent's backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Capacity {
-    /// Class of work it serves.
+    /// Class of work that it serves.
     pub class: class::Name,
-    /// Requests in progress at most.
+    /// Maximum number of requests in progress.
     pub slots: u32,
-    /// Open flows at most.
+    /// Maximum number of open flows.
     pub connections: u32,
 }
 
-/// A process's word about itself. Only its owner raises `version`.
+/// State of a process as published by itself. Only the process itself raises `version`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Address for frames between processes.
     pub address: SocketAddr,
-    /// Run of the process.
+    /// Instance of the process.
     pub instance: Instance,
-    /// Raised with each change of the record.
+    /// Version of the record, raised with each change.
     pub version: u32,
-    /// What the process is for.
+    /// Role of the process.
     pub role: Role,
-    /// Failure domain.
+    /// Failure domain of the process.
     pub domain: Arc<str>,
-    /// Stage of its life.
+    /// Phase of its life cycle.
     pub phase: Phase,
 }
 
 impl Record {
-    /// What its backend server can take, if the process is an agent.
+    /// Returns the capacity of its backend server if the process is an agent.
     #[must_use]
     pub const fn capacity(&self) -> Option<&Capacity> {
         match &self.role {
@@ -91,37 +93,38 @@
     }
 }
 
-/// What peers believe of a process. The order is that of strength within one version.
+/// Health of a process as seen by its peers. Within one version of a record a greater value
+/// supersedes a smaller one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Health {
-    /// Answers.
+    /// The process answers probes.
     Alive,
-    /// Did not answer; may still.
+    /// The process left a probe unanswered and may still be alive.
     Suspect,
-    /// Given up.
+    /// The process was declared dead.
     Dead,
 }
 
-/// A record with the health that peers give it, as it travels between them.
+/// A record and the health of its process, as gossiped between peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumor {
-    /// The owner's word.
+    /// The record that the process published.
     pub record: Record,
-    /// The peers' belief.
+    /// The health as seen by the sender.
     pub health: Health,
 }
 
 impl Rumor {
-    /// Whether the process is neither given up nor at its end.
+    /// Returns whether the process is neither declared dead nor gone.
     #[must_use]
     pub fn is_living(&self) -> bool {
         self.health != Health::Dead && self.record.phase != Phase::Gone
     }
 
-    /// Whether this rumor tells more than `known` of the same address.
+    /// Returns whether this rumor supersedes `known`, a rumor about the same address.
     ///
-    /// A later run beats an earlier one, a later version of the owner's word beats any belief
-    /// about an earlier version, and within one version the graver belief wins.
+    /// A later instance supersedes an earlier one, a later version of the record supersedes any
+    /// health of an earlier version, and within one version the worse health supersedes the better.
     #[must_use]
     pub fn beats(&self, known: &Self) -> bool {
         self.rank() > known.rank()
--- a/crates/nutmegkeel_core/src/membership.rs
+++ b/crates/nutmegkeel_core/src/membership.rs
@@ -1,7 +1,8 @@
-//! How processes find and watch each other: probes between random pairs, rumors on every message.
+//! Membership and failure detection: processes probe each other and gossip rumors on every message.
 //!
-//! The probing follows the idea of SWIM (Das, Gupta, Motivala 2002): a constant number of messages
-//! per process and second whatever the size, suspicion before death, refutation by the owner.
+//! The protocol follows SWIM (Das, Gupta, Motivala 2002): each process sends a constant number of
+//! messages per second whatever the size of the fleet, a process is suspect before it is declared
+//! dead, and it can refute the suspicion.
 
 mod beliefs;
 mod rumors;
@@ -21,18 +22,20 @@
 use beliefs::{Beliefs, fingerprint};
 use rumors::Rumors;
 
-/// Pace of the probes. All in milliseconds but the counts.
+/// Timing of the failure detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pace {
-    /// Between two probes of one process.
+    /// Interval between two probes that a process sends, in milliseconds.
     pub probe_every_ms: u64,
-    /// Until an unanswered probe is repeated through others, and again until suspicion.
+    /// Time until an unanswered probe is repeated through other processes, in milliseconds. Twice
+    /// this time later its target becomes suspect.
     pub answer_within_ms: u64,
-    /// Until a suspect is given up.
+    /// Time until a suspect is declared dead, in milliseconds.
     pub suspect_for_ms: u64,
-    /// Until a suspect is given up although very many went silent at once.
+    /// Time until a suspect is declared dead without the evidence that is needed earlier, in
+    /// milliseconds.
     pub hold_for_ms: u64,
-    /// Others asked to repeat a probe.
+    /// Number of other processes asked to repeat a probe.
     pub relays: usize,
 }
 
@@ -48,80 +51,86 @@
     }
 }
 
-/// Rumors on one message at most, so that it fits a datagram.
+/// Maximum number of rumors in one message, so that it fits into a datagram.
 pub const NEWS: usize = 8;
-/// The dead are remembered so long, in milliseconds, lest a late rumor revive them.
+/// How long a dead process is remembered, in milliseconds, so that a late rumor does not add it
+/// again.
 const BURY_AFTER_MS: u64 = 60_000;
-/// Least time between two pulls of a peer's whole view, in milliseconds.
+/// Minimum interval between two pulls of a peer's view, in milliseconds.
 const PULL_EVERY_MS: u64 = 5_000;
-/// The same for a process that is young.
+/// Minimum interval between two pulls of a recently started process, in milliseconds.
 const YOUNG_PULL_EVERY_MS: u64 = 1_000;
-/// A gap between two ticks above this means that this process was paused, in milliseconds.
+/// A longer gap between two ticks means that this process was paused, in milliseconds.
 const PAUSED_MS: u64 = 1_000;
-/// Time between two probes while a probe of this process went unanswered shortly before.
+/// Interval between probes while evidence about a suspect is needed quickly, in milliseconds.
 const HASTE_MS: u64 = 50;
-/// Probes sent together in haste: evidence must be there before callers' next retransmission.
+/// Number of probes sent at each such interval. It is large enough to collect the evidence before
+/// the next retransmission of callers.
 const HASTY_PROBES: usize = 2;
-/// Time between two attempts to join, in milliseconds.
+/// Interval between two attempts to join, in milliseconds.
 const JOIN_EVERY_MS: u64 = 500;
-/// A process is young for so long and meets a random balancer as often as it would join.
+/// How long a process counts as recently started, in milliseconds. During this time it pings a
+/// random balancer at the interval of attempts to join.
 const YOUNG_MS: u64 = 5_000;
-/// Time between two meetings with a random balancer of a process that is not young.
+/// Interval between two pings of a random balancer after that time, in milliseconds.
 const MEET_EVERY_MS: u64 = 5_000;
 
 /// A message between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Are you there? Answer to the sender.
+    /// Asks the receiver to answer with an `Ack`.
     Ping(Probe),
-    /// I am there.
+    /// Answers a `Ping`.
     Ack(Probe),
-    /// Ping `target` for me and pass its answer on.
+    /// Asks the receiver to ping the process at this address and to forward its `Ack`.
     Relay(Probe, SocketAddr),
-    /// I am new: send me your view.
+    /// Announces a new process and asks for the receiver's view.
     Join(Record),
-    /// My view differs: send me yours.
+    /// Asks for the receiver's view because its digest differs.
     Pull,
-    /// A part of the sender's view. Whoever lacks it pulls it too, so it is not passed on.
+    /// A part of the sender's view. The receiver does not spread it, since every process that lacks
+    /// it pulls it too.
     View(Vec<Rumor>),
-    /// News to pass on.
+    /// Rumors that the receiver applies and spreads.
     News(Vec<Rumor>),
 }
 
-/// What probes and their answers carry.
+/// Content of probes and their answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Probe {
-    /// Number that the answer repeats.
+    /// Number of the probe, which its answer repeats.
     pub number: u64,
-    /// The sender's word about itself.
+    /// Record of the sender.
     pub sender: Record,
-    /// Rumors.
+    /// Rumors that the sender spreads.
     pub news: Vec<Rumor>,
     /// Digest of the sender's view.
     pub digest: u64,
 }
 
-/// What the driver does for the membership.
+/// Output of the membership, carried out by its driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
     /// Send to a peer.
     Send(SocketAddr, Message),
-    /// Send to any balancer, by the fabric's address.
+    /// Send to the address of the fabric, which delivers to any balancer.
     Join(Message),
-    /// The belief about a process changed.
+    /// The record or health of a process changed.
     Changed(Rumor),
-    /// A run of a process is over.
+    /// An instance of a process ended.
     Gone(SocketAddr, Instance),
-    /// A later run has this process's address: it must stop.
+    /// A later instance runs at the address of this process, so this process must stop.
     Superseded,
 }
 
+/// Result of a probe in turn.
 #[derive(Clone, Copy, Debug)]
 struct Outcome {
     sent: Time,
     answered: bool,
 }
 
+/// A probe without an answer so far.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     errand: Errand,
@@ -130,17 +139,18 @@
     relayed: bool,
 }
 
-/// Whom a probe goes to, and why.
+/// Target and purpose of a probe.
 #[derive(Clone, Copy, Debug)]
 struct Errand {
     target: SocketAddr,
-    /// Whether it goes to whoever's turn it is, and so tells something of the whole fleet.
+    /// Whether the target was chosen in turn and not because it is suspect. Only these probes are a
+    /// fair sample of the fleet.
     in_turn: bool,
-    /// Who asked for it, and under which number.
+    /// The process that asked for this probe, and the number of its own probe.
     asked_by: Option<(SocketAddr, u64)>,
 }
 
-/// The view of one process.
+/// The membership view of one process.
 #[derive(Debug)]
 pub struct Membership {
     me: Record,
@@ -161,7 +171,7 @@
 }
 
 impl Membership {
-    /// A view that holds nobody but `me`.
+    /// Creates a view that holds only the process itself.
     #[must_use]
     pub fn open(me: Record, pace: Pace, seed: u64) -> Self {
         Self {
@@ -183,23 +193,23 @@
         }
     }
 
-    /// This process's word about itself.
+    /// Returns the record of this process.
     #[must_use]
     pub const fn me(&self) -> &Record {
         &self.me
     }
 
-    /// All beliefs about others, the dead included.
+    /// Returns the rumors about all other processes, including dead ones.
     pub fn beliefs(&self) -> impl Iterator<Item = &Rumor> {
         self.beliefs.rumors()
     }
 
-    /// Others that are not given up.
+    /// Returns the rumors about all other processes that are neither dead nor gone.
     pub fn living(&self) -> impl Iterator<Item = &Rumor> {
         self.beliefs().filter(|rumor| rumor.is_living())
     }
 
-    /// Changes this process's word about itself.
+    /// Changes the record of this process and spreads it.
     pub fn update(&mut self, role: Role, phase: Phase) {
         if self.me.role == role && self.me.phase == phase {
             return;
@@ -210,7 +220,8 @@
         self.spread_self();
     }
 
-    /// Word of a stop, sent to a few peers at once so that they need no suspicion.
+    /// Sends the record of this process to a few peers at once, so that they learn of a planned
+    /// stop or another phase without a suspicion.
     pub fn farewell(&mut self) -> Vec<Action> {
         const TOLD: usize = 4;
         let told = self.some(TOLD);
@@ -218,12 +229,13 @@
         told.into_iter().map(|peer| Action::Send(peer, Message::News(vec![me.clone()]))).collect()
     }
 
-    /// Up to `count` living others, drawn at random.
+    /// Returns up to `count` living other processes, chosen at random.
     pub fn some(&mut self, count: usize) -> Vec<SocketAddr> {
         self.beliefs.some(&mut self.rng, count, None)
     }
 
-    /// Time passes: probes, suspicions, deaths.
+    /// Sends the probes that are due and declares processes suspect or dead whose timeouts have
+    /// passed.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
         self.first_tick.get_or_insert(now);
         self.notice_pause(now);
@@ -240,7 +252,7 @@
         actions
     }
 
-    /// A message arrived from the process at `from`.
+    /// Handles a message from the process at `from`.
     pub fn receive(&mut self, now: Time, from: SocketAddr, message: Message) -> Vec<Action> {
         let mut actions = Vec::new();
         match message {
@@ -278,7 +290,7 @@
         actions
     }
 
-    /// A process proved on the data path that it lives.
+    /// Handles a packet on the data path from a process, which proves that it is alive.
     pub fn heard(&mut self, now: Time, address: SocketAddr, instance: Instance) -> Vec<Action> {
         let mut actions = Vec::new();
         let refuted = self.beliefs.get(address).filter(|belief| {
@@ -292,7 +304,7 @@
         actions
     }
 
-    /// The data path met silence: probe this process now instead of when its turn comes.
+    /// Probes a process now instead of at its turn, unless a probe of it is pending.
     pub fn doubt(&mut self, now: Time, address: SocketAddr) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.is_asked(address)
@@ -304,9 +316,9 @@
         actions
     }
 
-    /// Guards against a process that was frozen and wakes: to it every probe looks unanswered and
-    /// every suspicion run out, so it would give up healthy peers. After a pause it starts the
-    /// waiting over.
+    /// Guards against healthy peers being declared dead after this process was paused: all its
+    /// probes would look unanswered and all its suspicions timed out. After a pause it drops all
+    /// pending probes and restarts all suspicions.
     fn notice_pause(&mut self, now: Time) {
         let paused = self.last_tick.is_some_and(|last| now.since(last) > PAUSED_MS);
         self.last_tick = Some(now);
@@ -330,12 +342,12 @@
         }
     }
 
-    /// Pings a random balancer by the fabric's address.
+    /// Pings a random balancer through the address of the fabric.
     ///
-    /// Guards against groups that never hear of each other: processes that started at the same
-    /// time, or were cut apart for long, know only their own group, and probes stay within it. The
-    /// fabric knows no groups, so sooner or later it hands this ping to a balancer of another one,
-    /// and the digests in ping and answer show that the views differ.
+    /// Guards against groups of processes that never find each other: processes that started at the
+    /// same time, or were partitioned for long, know only their own group and probe only its
+    /// members. The fabric delivers to any balancer, so eventually this ping reaches one of another
+    /// group, and the digests in ping and answer show that the views differ.
     fn meet(&mut self, now: Time, actions: &mut Vec<Action>) {
         if now < self.next_meeting {
             return;
@@ -358,7 +370,7 @@
         }
     }
 
-    /// Probes each other process once per round, in an order drawn anew for each round.
+    /// Probes the next process. Each round visits all other processes once, in a new random order.
     fn probe_next(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.order.is_empty() {
             self.order = self.beliefs.living().to_vec();
@@ -395,7 +407,8 @@
         }
     }
 
-    /// What the process at `address` must refute, if it is believed dead or suspect.
+    /// Returns the rumor that the process at `address` must refute if it is held suspect or dead
+    /// here.
     fn grave_belief(&self, address: SocketAddr) -> Option<Rumor> {
         let belief = self.beliefs.get(address)?;
         (belief.rumor.health > Health::Alive).then(|| belief.rumor.clone())
@@ -429,7 +442,7 @@
         }
     }
 
-    /// Takes in what others say and passes it on if it is new.
+    /// Applies a rumor and spreads it if it is new.
     fn learn(&mut self, now: Time, rumor: Rumor, actions: &mut Vec<Action>) {
         let address = rumor.record.address;
         if self.learn_quietly(now, rumor, actions)
@@ -439,11 +452,12 @@
         }
     }
 
-    /// Takes in what others say; true when it was new.
+    /// Applies a rumor and returns true if it is new.
     ///
-    /// Guards against flows that are reset on hearsay: a process that was cut off or frozen is
-    /// dead to some and well to others. Their word makes it suspect here, which gives it the time
-    /// to refute; only this process's own unanswered waiting makes it dead.
+    /// Guards against resetting the flows of a healthy process that was partitioned or paused,
+    /// which some peers declare dead while others reach it. A rumor of its death only makes it
+    /// suspect here, so it has time to refute. It is declared dead only after this process's own
+    /// probes have gone unanswered.
     fn learn_quietly(&mut self, now: Time, rumor: Rumor, actions: &mut Vec<Action>) -> bool {
         if rumor.record.address == self.me.address {
             self.learn_of_self(&rumor, actions);
@@ -470,8 +484,9 @@
         actions.push(Action::Changed(rumor));
     }
 
-    /// Others speak of this process. A grave belief is refuted by a greater version; word of a
-    /// later run at the same address means that this one was replaced while it was away.
+    /// Applies a rumor about this process. It refutes a suspicion or death by raising its version.
+    /// A later instance at its address means that it was replaced, for instance while it was
+    /// paused.
     fn learn_of_self(&mut self, rumor: &Rumor, actions: &mut Vec<Action>) {
         if rumor.record.instance > self.me.instance {
             actions.push(Action::Superseded);
@@ -504,7 +519,7 @@
         }
     }
 
-    /// Digest of this view, the own record included.
+    /// Returns the digest of this view including the record of this process.
     fn digest(&self) -> u64 {
         self.beliefs.digest().wrapping_add(fingerprint(&self.me))
     }
--- a/crates/nutmegkeel_core/src/membership/beliefs.rs
+++ b/crates/nutmegkeel_core/src/membership/beliefs.rs
@@ -1,7 +1,8 @@
-//! What one process believes of all others, with the counts and the digest kept up to date.
+//! Records and health of all other processes, with sets by health and an incremental digest.
 //!
-//! Each change costs the logarithm of the number of processes and each tick nothing but what is
-//! suspect or dead: a walk over all beliefs would not fit a tick at 200,000 of them.
+//! A change takes logarithmic time in the number of processes, and a tick visits only those that
+//! are suspect or dead. Iterating over all of them at each tick would take too long with 200,000
+//! processes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,18 +13,19 @@
 use crate::clock::Time;
 use crate::member::{Health, Record, Rumor};
 
-/// The belief about one process.
+/// Record and health of one process.
 #[derive(Clone, Debug)]
 pub(super) struct Belief {
     pub(super) rumor: Rumor,
+    /// When the record or health last changed.
     pub(super) since: Time,
-    /// When the first own probe that went unanswered since it became suspect was sent.
+    /// Send time of the first own probe that went unanswered since the process became suspect.
     pub(super) failed: Option<Time>,
-    /// Index among the living.
+    /// Index in [`Beliefs::living`].
     place: usize,
 }
 
-/// All beliefs of one process.
+/// Records and health of all other processes.
 #[derive(Debug, Default)]
 pub(super) struct Beliefs {
     known: BTreeMap<SocketAddr, Belief>,
@@ -58,12 +60,12 @@
         self.suspects.len()
     }
 
-    /// Sum of one number per living record; views that are equal have equal digests.
+    /// Returns the sum of the fingerprints of all living records. Equal views have equal digests.
     pub(super) const fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Replaces the belief about a process.
+    /// Replaces the record and health of a process.
     pub(super) fn set(&mut self, now: Time, rumor: Rumor) {
         let address = rumor.record.address;
         self.remove(address);
@@ -80,13 +82,14 @@
         self.known.insert(address, Belief { rumor, since: now, failed: None, place });
     }
 
+    /// Records an unanswered probe of a process that was sent at `sent`.
     pub(super) fn note_failed(&mut self, address: SocketAddr, sent: Time) {
         if let Some(belief) = self.known.get_mut(&address) {
             belief.failed.get_or_insert(sent);
         }
     }
 
-    /// Starts the waiting for all suspects over.
+    /// Restarts the timeouts of all suspicions and drops the evidence for them.
     pub(super) fn start_over(&mut self, now: Time) {
         for address in &self.suspects {
             if let Some(belief) = self.known.get_mut(address) {
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Forgets the dead that have been dead for `millis`.
+    /// Removes the processes that have been dead for `millis`.
     pub(super) fn bury(&mut self, now: Time, millis: u64) {
         let known = &self.known;
         let is_due = |address: &SocketAddr| {
@@ -108,7 +111,8 @@
         }
     }
 
-    /// Up to `count` different living processes other than `except`, drawn evenly.
+    /// Returns up to `count` distinct living processes other than `except`, chosen uniformly at
+    /// random.
     pub(super) fn some(
         &self,
         rng: &mut SmallRng,
@@ -147,7 +151,7 @@
     }
 }
 
-/// A number that differs for each record and each version of it.
+/// Returns a hash of the address, instance and version of a record.
 pub(super) fn fingerprint(record: &Record) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(record.address.to_string().as_bytes());
--- a/crates/nutmegkeel_core/src/membership/rumors.rs
+++ b/crates/nutmegkeel_core/src/membership/rumors.rs
@@ -1,4 +1,4 @@
-//! Rumors waiting to be passed on, the least often told first.
+//! Queue of rumors to spread, ordered by the number of times that each was sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
     times: u32,
 }
 
-/// At most one rumor per process: a newer one replaces an older one.
+/// Queue with at most one rumor per process: a newer one replaces an older one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Rumors {
     told: BTreeMap<SocketAddr, Told>,
@@ -19,14 +19,14 @@
 }
 
 impl Rumors {
-    /// A rumor is told so many times per binary digit of the number of processes.
+    /// Number of times that a rumor is sent, per binary digit of the number of processes.
     const TIMES_PER_DIGIT: u32 = 3;
 
     pub(super) fn add(&mut self, rumor: Rumor) {
         self.put(Told { rumor, times: 0 });
     }
 
-    /// Up to `count` rumors for one message, in a group of `known` processes.
+    /// Returns up to `count` rumors for one message in a fleet of `known` processes.
     pub(super) fn take(&mut self, count: usize, known: usize) -> Vec<Rumor> {
         let digits = usize::BITS - known.leading_zeros();
         let most = Self::TIMES_PER_DIGIT * digits.max(1);
--- a/crates/nutmegkeel_core/src/membership/suspicion.rs
+++ b/crates/nutmegkeel_core/src/membership/suspicion.rs
@@ -1,4 +1,5 @@
-//! From an unanswered probe to a death: repeats through others, suspicion, evidence, giving up.
+//! Failure detection after an unanswered probe: indirect probes, suspicion, evidence and the
+//! declaration of death.
 
 use std::net::SocketAddr;
 
@@ -7,21 +8,23 @@
 use crate::clock::Time;
 use crate::member::{Health, Rumor};
 
-/// Outcomes of probes are kept so long as evidence of being cut off, in milliseconds.
+/// How long outcomes of probes are kept to decide whether this process is isolated, in
+/// milliseconds.
 const EVIDENCE_MS: u64 = 10_000;
-/// So many probes are enough evidence to be sure of one's own connection ...
+/// Minimum number of probes from which this process concludes that its own connection works.
 const ENOUGH: usize = 16;
-/// ... if at most one in so many of them went unanswered.
+/// It does so if at most one in this number of probes went unanswered.
 const SURE_PARTS: usize = 4;
-/// Suspects probed out of turn in one tick at most; bounds the traffic of a mass failure.
+/// Maximum number of suspects probed out of turn per tick. It bounds the traffic of a mass failure.
 const PER_TICK: usize = 2;
-/// In a fleet of at most so many everybody asks a suspect at once. In a larger one that would be a
-/// flood upon a process that may only be slow, so word of a suspicion is checked when it runs out.
+/// Maximum size of a fleet in which every process probes a suspect at once. In a larger fleet these
+/// probes would overload a process that may only be slow, so a suspicion that came as a rumor is
+/// checked only when it times out.
 const SMALL: usize = 500;
-/// With fewer others than this there is no evidence to be had.
+/// Minimum number of other processes for which outcomes of probes count as evidence.
 const FEW: usize = 3;
 
-/// How a number of probes went.
+/// Number of probes and of those that went unanswered.
 #[derive(Clone, Copy, Debug)]
 struct Evidence {
     all: usize,
@@ -83,27 +86,28 @@
         }
     }
 
-    /// Time from sending a probe until it has surely been answered or judged unanswered.
+    /// Returns the time after which a probe has been answered or counted as unanswered.
     const fn judged_after_ms(&self) -> u64 {
         3 * self.pace.answer_within_ms
     }
 
-    /// Whether a probe of the process at `address` is on its way.
+    /// Returns whether a probe of the process at `address` is pending.
     pub(super) fn is_asked(&self, address: SocketAddr) -> bool {
         self.pending.values().any(|pending| pending.errand.target == address)
     }
 
-    /// Whether more evidence is wanted quickly: an own probe went unanswered or, in a small fleet,
-    /// somebody is suspect at all.
+    /// Returns whether evidence is needed quickly: a suspect left a probe of this process
+    /// unanswered or, in a small fleet, any process is suspect.
     pub(super) fn is_hasty(&self) -> bool {
         let small = self.beliefs.living().len() <= SMALL;
         self.beliefs.suspects().any(|belief| small || belief.failed.is_some())
     }
 
-    /// How the probes went that were sent since `since` and are old enough to have been judged.
+    /// Returns the outcomes of the probes that were sent since `since` and have timed out or could
+    /// have.
     ///
-    /// Answers come at once and silence shows late, so counting younger ones would make a process
-    /// that was just cut off look well.
+    /// Answers arrive at once and missing ones show only after the timeout. Counting later probes
+    /// would make the connection of a process that was just isolated look healthy.
     fn evidence(&self, now: Time, since: Time) -> Evidence {
         let youngest = self.judged_after_ms();
         let judged = self
@@ -114,7 +118,8 @@
         Evidence { all, failed: judged.filter(|outcome| !outcome.answered).count() }
     }
 
-    /// Whether this process met the silence of a suspect itself and is surely well connected.
+    /// Returns whether a suspect left a probe of this process unanswered while this process's own
+    /// connection works.
     fn is_sure(&self, now: Time, belief: &Belief) -> bool {
         let Some(failed) = belief.failed else {
             return false;
@@ -126,14 +131,14 @@
         evidence.all >= ENOUGH && evidence.failed * SURE_PARTS <= evidence.all
     }
 
-    /// Whether most probes over a long time went unanswered.
+    /// Returns whether most probes of the last [`EVIDENCE_MS`] went unanswered.
     fn is_cut_off(&self, now: Time) -> bool {
         let evidence = self.evidence(now, Time::ZERO);
         self.beliefs.living().len() >= FEW && 2 * evidence.failed > evidence.all
     }
 
-    /// Asks suspects again while they have time left, so that one lost answer condemns nobody and,
-    /// in a small fleet, so that word of a suspicion is checked while the time runs.
+    /// Probes suspects again before their timeout, so that one lost answer does not cause a
+    /// declared death. In a small fleet this also checks suspicions that came as rumors.
     pub(super) fn ask_suspects_again(&mut self, now: Time, actions: &mut Vec<Action>) {
         let small = self.beliefs.living().len() <= SMALL;
         let suspects: Vec<SocketAddr> = self
@@ -150,19 +155,21 @@
         }
     }
 
-    /// Gives up suspects whose time is over and whose silence this process met itself.
+    /// Declares suspects dead whose suspicion has timed out and that left a probe of this process
+    /// unanswered.
     ///
-    /// Guards against a mass removal when the observer or its failure domain is cut off: then very
-    /// many go silent at once and the last good view is the better one. A suspect is given up soon
-    /// only if enough other probes sent since its own went unanswered were answered and at most a
-    /// third of all are silent; otherwise after `hold_for_ms`; and nobody while most probes fail.
+    /// Guards against a mass removal when this process or its failure domain is isolated: then very
+    /// many processes become suspect at once, and keeping the last good view is better. A suspect
+    /// is declared dead after `suspect_for_ms` only if at most a third of all processes are suspect
+    /// and enough other probes that were sent since the unanswered one were answered. Otherwise it
+    /// is declared dead after `hold_for_ms`, and no suspect is while most probes go unanswered.
     pub(super) fn give_up_suspects(&mut self, now: Time, actions: &mut Vec<Action>) {
         let silent = self.beliefs.suspect_count();
         if silent == 0 {
             return;
         }
         if self.is_cut_off(now) {
-            // What went unanswered while this process was cut off proves nothing once it is not.
+            // Probes that went unanswered during the isolation are no evidence after it.
             return self.beliefs.start_over(now);
         }
         let many = silent >= FEW && silent * 3 > self.beliefs.living().len();
--- a/crates/nutmegkeel_core/src/peer.rs
+++ b/crates/nutmegkeel_core/src/peer.rs
@@ -1,4 +1,4 @@
-//! What every process does with its peers: membership, and the configuration that rides along.
+//! Communication of a process with its peers: membership and the spread of the configuration.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,55 +10,55 @@
 use crate::member::{Health, Instance, Record, Role, Rumor};
 use crate::membership::{self, Membership, Pace};
 
-/// Peers that an entry is pushed to at once when it is new here.
+/// Number of peers to which a new entry is sent at once.
 const PUSHED_TO: usize = 3;
-/// Entries in one message at most, so that it fits a datagram.
+/// Maximum number of entries in one message, so that it fits into a datagram.
 const ENTRIES: usize = 6;
-/// Least time between two fetches of configuration, in milliseconds.
+/// Minimum interval between two fetches of the configuration, in milliseconds.
 const FETCH_EVERY_MS: u64 = 200;
 
-/// A message between processes. Each one tells the sender's configuration revision.
+/// A message between processes. Each one carries the configuration revision of its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The greatest revision known to the sender.
+    /// The highest revision that the sender holds.
     pub revision: Revision,
-    /// The message itself.
+    /// Content of the message.
     pub body: Body,
 }
 
 /// Kinds of messages between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// About who lives.
+    /// See [`membership::Message`].
     Membership(membership::Message),
-    /// Send me the entries after this revision.
+    /// Asks for the entries after this revision.
     Fetch(Revision),
     /// Entries of the configuration.
     Entries(Vec<Entry>),
-    /// An operator wants this run of the receiver to leave.
+    /// An operator drains this instance of the receiver.
     Drain(Instance),
 }
 
-/// What the driver does for a peer.
+/// Output of a peer, carried out by its driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
     /// Send to the process at this address.
     Send(SocketAddr, Message),
-    /// Send to any balancer, by the fabric's address.
+    /// Send to the address of the fabric, which delivers to any balancer.
     Join(Message),
-    /// The belief about a process changed.
+    /// The record or health of a process changed.
     Changed(Rumor),
-    /// A run of a process is over.
+    /// An instance of a process ended.
     Gone(SocketAddr, Instance),
-    /// A newer entry of the configuration is in force here.
+    /// A newer entry of the configuration is in force at this process.
     InForce(Entry),
-    /// A later run has this process's address: it must stop.
+    /// A later instance runs at the address of this process, so this process must stop.
     Superseded,
-    /// An operator wants this process to leave.
+    /// An operator drains this process.
     Drain,
 }
 
-/// One process among its peers.
+/// State of a process that concerns its peers.
 #[derive(Debug)]
 pub struct Peer {
     membership: Membership,
@@ -70,7 +70,7 @@
 }
 
 impl Peer {
-    /// A peer that knows only itself.
+    /// Creates a peer that knows only itself.
     #[must_use]
     pub fn open(me: Record, pace: Pace, seed: u64) -> Self {
         Self {
@@ -83,60 +83,61 @@
         }
     }
 
-    /// The view of others.
+    /// Returns the membership view.
     #[must_use]
     pub const fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The view of others, to change this process's own record.
+    /// Returns the membership view, to change the record of this process.
     pub const fn membership_mut(&mut self) -> &mut Membership {
         &mut self.membership
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration in force at this process.
     #[must_use]
     pub const fn book(&self) -> &Book {
         &self.book
     }
 
-    /// Balancers other than this process that take packets from the fabric.
+    /// Returns the other balancers that receive packets from the fabric.
     #[must_use]
     pub const fn balancers(&self) -> &BTreeSet<SocketAddr> {
         &self.balancers
     }
 
-    /// Those of [`Peer::balancers`] that are in this process's failure domain.
+    /// Returns those of [`Peer::balancers`] that are in the failure domain of this process.
     #[must_use]
     pub const fn neighbours(&self) -> &BTreeSet<SocketAddr> {
         &self.neighbours
     }
 
-    /// The configuration revision that another balancer told last, if it told one.
+    /// Returns the configuration revision in the last message of another balancer, if there was
+    /// one.
     #[must_use]
     pub fn revision_of(&self, balancer: SocketAddr) -> Option<Revision> {
         self.revisions.get(&balancer).copied()
     }
 
-    /// The greatest configuration revision that another balancer told.
+    /// Returns the highest configuration revision in the last messages of the other balancers.
     #[must_use]
     pub fn newest_told(&self) -> Revision {
         self.revisions.values().max().copied().unwrap_or_default()
     }
 
-    /// Asks a run of another process to leave.
+    /// Returns the message that drains an instance of another process.
     #[must_use]
     pub fn ask_to_leave(&self, address: SocketAddr, instance: Instance) -> Action {
         Action::Send(address, self.message(Body::Drain(instance)))
     }
 
-    /// Time passes.
+    /// Handles the passage of time, see [`Membership::tick`].
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
         let actions = self.membership.tick(now);
         self.wrap(actions)
     }
 
-    /// A message arrived from the process at `from`.
+    /// Handles a message from the process at `from`.
     pub fn receive(&mut self, now: Time, from: SocketAddr, message: Message) -> Vec<Action> {
         let mut actions = match message.body {
             Body::Membership(body) => {
@@ -145,7 +146,7 @@
             }
             Body::Fetch(since) => self.entries_for(from, since),
             Body::Entries(entries) => self.learn(entries),
-            // A drain that was meant for an earlier run at this address concerns nobody here.
+            // A drain for an earlier instance at this address is ignored.
             Body::Drain(instance) if instance == self.membership.me().instance => {
                 vec![Action::Drain]
             }
@@ -162,26 +163,28 @@
         actions
     }
 
-    /// The data path heard from a process.
+    /// Handles a packet on the data path from a process, which proves that it is alive.
     pub fn heard(&mut self, now: Time, address: SocketAddr, instance: Instance) -> Vec<Action> {
         let actions = self.membership.heard(now, address, instance);
         self.wrap(actions)
     }
 
-    /// The data path met silence.
+    /// Probes a process that did not answer on the data path.
     pub fn doubt(&mut self, now: Time, address: SocketAddr) -> Vec<Action> {
         let actions = self.membership.doubt(now, address);
         self.wrap(actions)
     }
 
-    /// Words of a planned stop.
+    /// Sends the record of this process to a few peers at once.
     pub fn farewell(&mut self) -> Vec<Action> {
         let actions = self.membership.farewell();
         self.wrap(actions)
     }
 
-    /// Entries from the platform, a peer or an accepted write. New ones go on to a few peers at
-    /// once, so that a change spreads even if the platform is down straight after it was accepted.
+    /// Applies entries from the platform, a peer or an accepted write.
+    ///
+    /// New entries are sent to a few peers at once, so that a change spreads even if the platform
+    /// becomes unavailable right after it accepted the change.
     pub fn learn(&mut self, entries: Vec<Entry>) -> Vec<Action> {
         let new: Vec<Entry> =
             entries.into_iter().filter(|entry| self.book.learn(entry.clone())).collect();
--- a/crates/nutmegkeel_core/src/placement.rs
+++ b/crates/nutmegkeel_core/src/placement.rs
@@ -1,8 +1,8 @@
-//! Which agents a new flow may go to, and which of them it goes to.
+//! Placement of new flows on agents.
 //!
-//! Each balancer decides alone. With the same view and the same reports all decide alike: the
-//! candidates come from rendezvous hashing of the flow's key, and the load that the agents report
-//! on their answers picks among the first two.
+//! Each balancer decides on its own, and balancers with the same view and the same load reports
+//! decide alike. Rendezvous hashing of the flow's key yields two candidates, and the load that
+//! agents report with their answers decides between the two.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,12 +13,12 @@
 use crate::load::Report;
 use crate::member::Instance;
 
-/// Key of a flow: a hash of what all its packets carry.
+/// Key of a flow: a hash of the fields that all its packets have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key(u64);
 
 impl Key {
-    /// The key made of these bytes (the caller's address, the class and the opening token).
+    /// Returns the hash of these parts: the caller's address, the class and the opening token.
     #[must_use]
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new();
@@ -30,20 +30,20 @@
         Self(u64::from_be_bytes(first))
     }
 
-    /// A key from a number that is spread evenly already.
+    /// Creates a key from a number that is uniformly distributed already.
     #[must_use]
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// The key as a number, spread evenly.
+    /// Returns the key as a uniformly distributed number.
     #[must_use]
     pub const fn number(self) -> u64 {
         self.0
     }
 }
 
-/// Where a packet goes: a process and the run of it that must take it.
+/// Destination of a packet: the address of a process and the instance that must accept it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Hop {
     /// Address for frames.
@@ -54,47 +54,48 @@
 
 /// The choice for one new flow.
 ///
-/// Guards against a flow that is opened twice. A caller that has no answer yet sends two copies of its
-/// opening at once, the fabric hands them to two balancers, and one of these knows other loads, as one
-/// does that has just started. Were the copies sent to two agents, both would answer, and the caller
-/// would take the packets of the one for the other's and end the flow with a protocol error. So load
-/// never changes where an opening is sent, only what the first agent is asked to do with it: that
-/// agent sees all copies and sends them one way.
+/// Guards against a flow that is opened twice. A caller that has no answer yet sends two copies of
+/// its opening at once, the fabric hands them to two balancers, and one of these knows other loads,
+/// as one does that has just started. Were the copies sent to two agents, both would answer, and
+/// the caller would take the packets of the one for the other's and end the flow with a protocol
+/// error. So load never changes where an opening is sent, only what the first agent is asked to do
+/// with it: that agent sees all copies and sends them one way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Choice {
     /// The agent that gets the packet.
     pub first: Hop,
-    /// The agent the first may pass it on to.
+    /// The agent to which the first one may pass it on.
     pub next: Option<Hop>,
-    /// Whether the first is to be spared: it passes the flow on, unless it holds it already.
+    /// Whether the first agent passes the flow on, unless it has accepted it already, because it is
+    /// more loaded than the next one.
     pub spares_first: bool,
 }
 
 impl Choice {
-    /// The agent that is meant to take the flow.
+    /// Returns the agent that is to accept the flow.
     #[must_use]
     pub fn taker(&self) -> Hop {
         self.next.filter(|_| self.spares_first).unwrap_or(self.first)
     }
 }
 
-/// What a balancer knows of one agent.
+/// An agent on which new flows may be placed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The run that takes new flows.
+    /// The instance that accepts new flows.
     pub instance: Instance,
-    /// Requests in progress at most; the share of new flows follows it.
+    /// Maximum number of requests in progress. The share of new flows is proportional to it.
     pub slots: u32,
-    /// Open flows at most.
+    /// Maximum number of open flows.
     pub connections: u32,
-    /// Whether peers suspect it of having died.
+    /// Whether its health is suspect.
     pub suspect: bool,
     report: Report,
     placed_since_report: u32,
 }
 
 impl Candidate {
-    /// A candidate that has not reported yet.
+    /// Creates a candidate that has not reported its load yet.
     #[must_use]
     pub fn new(instance: Instance, slots: u32, connections: u32) -> Self {
         Self {
@@ -107,21 +108,23 @@
         }
     }
 
-    /// Takes in the agent's own count.
+    /// Applies a load report of the agent.
     pub const fn heard(&mut self, report: Report) {
         self.report = report;
         self.placed_since_report = 0;
     }
 
-    /// Notes a flow that this balancer sent there.
+    /// Records a flow that this balancer placed on the agent.
     const fn placed(&mut self) {
         self.placed_since_report = self.placed_since_report.saturating_add(1);
     }
 
-    /// Expected pressure: open flows per slot, what was sent since the last report included.
+    /// Returns the expected number of flows and requests per slot, including the flows placed since
+    /// the last report.
     ///
-    /// Guards against a herd on the backend server that last reported the least: between two
-    /// reports each balancer counts its own placements as if its peers had done the same.
+    /// Guards against a thundering herd on the backend server that last reported the least load:
+    /// between two reports each balancer assumes that every other balancer has placed as many flows
+    /// there as itself.
     fn pressure(&self, balancers: u32) -> u64 {
         const SCALE: u64 = 1_000;
         let unseen = u64::from(self.placed_since_report) * u64::from(balancers);
@@ -135,18 +138,18 @@
     }
 }
 
-/// The rule that picks an agent. The others are baselines for measurement.
+/// Rule that selects an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rule {
-    /// Rendezvous hashing, then the lesser pressure of the first two.
+    /// Rendezvous hashing, then the less loaded of the two candidates with the highest rank.
     LoadedRendezvous,
-    /// Rendezvous hashing alone.
+    /// Rendezvous hashing alone. Baseline for measurements.
     Rendezvous,
-    /// The candidates in turn, by a counter of this balancer.
+    /// The candidates in turn, by a counter of this balancer. Baseline for measurements.
     RoundRobin,
 }
 
-/// The agents of one class that take new flows, by address.
+/// The agents of one class that accept new flows, by address.
 #[derive(Clone, Debug)]
 pub struct Pool {
     candidates: BTreeMap<SocketAddr, Candidate>,
@@ -163,7 +166,7 @@
 }
 
 impl Pool {
-    /// Adds a candidate or replaces what was known of it, keeping the report of the same run.
+    /// Adds or replaces a candidate. The load report is kept if the instance is the same.
     pub fn insert(&mut self, address: SocketAddr, mut candidate: Candidate) {
         if let Some(known) = self.candidates.get(&address)
             && known.instance == candidate.instance
@@ -174,32 +177,32 @@
         self.candidates.insert(address, candidate);
     }
 
-    /// Takes no new flow there from now on.
+    /// Removes a candidate, which gets no new flows from now on.
     pub fn remove(&mut self, address: SocketAddr) {
         self.candidates.remove(&address);
     }
 
-    /// Sets how uneven the spread may be, from the class's target.
+    /// Sets the tolerated imbalance from the target of the class.
     ///
-    /// Within half of what the target allows, a flow stays with the first of its candidates, so
-    /// that balancers whose reports differ a little still decide alike.
+    /// A flow stays with its first candidate while the loads of both differ by less than half of
+    /// what the target allows, so that balancers with slightly different reports decide alike.
     pub fn set_imbalance(&mut self, percent: u32) {
         self.tolerance_percent = u64::from(percent.saturating_sub(100)) / 2;
     }
 
-    /// Number of candidates.
+    /// Returns the number of candidates.
     #[must_use]
     pub fn len(&self) -> usize {
         self.candidates.len()
     }
 
-    /// Whether no agent takes new flows.
+    /// Returns whether no agent accepts new flows.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.candidates.is_empty()
     }
 
-    /// Takes in a report; one of an earlier run is ignored.
+    /// Applies a load report; a report of another instance is ignored.
     pub fn heard(&mut self, hop: Hop, report: Report) {
         if let Some(candidate) = self.candidates.get_mut(&hop.address)
             && candidate.instance == hop.instance
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Places a new flow, or none when no agent takes any.
+    /// Places a new flow; returns `None` if no agent accepts new flows.
     pub fn place(&mut self, key: Key, rule: Rule, balancers: u32) -> Option<Choice> {
         let plain = |(first, next)| Choice { first, next, spares_first: false };
         let choice = match rule {
@@ -230,8 +233,10 @@
         Some((hop(turn)?, hop(turn + 1).filter(|_| count > 1)))
     }
 
-    /// The two candidates that rank first for the key. Suspects rank behind all others, so that
-    /// they get new flows only when everybody is suspect (then the observer is the likelier fault).
+    /// Returns the two candidates with the highest ranks for the key.
+    ///
+    /// Suspects rank behind all others. They get new flows only if there are too few others: if all
+    /// agents are suspect, the connection of this balancer is the more likely fault.
     fn by_rank(&self, key: Key) -> Option<(Hop, Option<Hop>)> {
         let mut best: Option<(Rank, Hop)> = None;
         let mut second: Option<(Rank, Hop)> = None;
@@ -260,7 +265,7 @@
     }
 }
 
-/// Order of a candidate for one key: the trusted before the suspect, then the higher hash.
+/// Rank of a candidate for one key: candidates that are not suspect come first, then higher hashes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     trusted: bool,
@@ -282,7 +287,8 @@
     Hop { address: *entry.0, instance: entry.1.instance }
 }
 
-/// Spreads the bits of a number that is not secret (the finaliser of the `SplitMix64` generator).
+/// Mixes the bits of a number with the finalizer of the `SplitMix64` generator. The result is not
+/// cryptographically secure.
 pub(crate) const fn mix(mut z: u64) -> u64 {
     z = z.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/nutmegkeel_core/src/reply.rs
+++ b/crates/nutmegkeel_core/src/reply.rs
@@ -1,4 +1,4 @@
-//! Which balancer an agent answers through.
+//! The balancers through which an agent answers its callers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -6,11 +6,13 @@
 
 use crate::clock::Time;
 
-/// How long a caller may be silent before its answers try another balancer, in milliseconds.
+/// Time without a packet from a caller after which its answers use another balancer, in
+/// milliseconds.
 pub const SILENT_MS: u64 = 300;
-/// How long a caller is remembered after its last packet, in milliseconds.
+/// How long a path is kept after the last packet of its caller, in milliseconds.
 const FORGET_MS: u64 = 120_000;
-/// Callers remembered at most; the one silent for longest is forgotten first.
+/// Maximum number of paths. Beyond it, the path of the caller that was last seen the longest time
+/// ago is evicted.
 const MOST_CALLERS: usize = 16_384;
 
 #[derive(Clone, Copy, Debug)]
@@ -20,14 +22,14 @@
     turned: Time,
 }
 
-/// The way back to each caller, learned from its newest packet.
+/// The return path to each caller, learned from its latest packet.
 #[derive(Debug, Default)]
 pub struct Paths {
     ways: BTreeMap<SocketAddr, Way>,
 }
 
 impl Paths {
-    /// A caller's packet came by the balancer `via`.
+    /// Records that a packet of `caller` arrived through the balancer `via`.
     pub fn heard(&mut self, now: Time, caller: SocketAddr, via: SocketAddr) {
         self.ways.insert(caller, Way { via, heard: now, turned: now });
         if self.ways.len() > MOST_CALLERS {
@@ -35,12 +37,13 @@
         }
     }
 
-    /// The balancer to answer through.
+    /// Returns the balancer through which to answer a caller.
     ///
-    /// Guards against a feed that falls silent when its balancer dies: the caller only
-    /// acknowledges what reaches it, so an agent that keeps answering through a dead balancer
-    /// never hears of another one. When the caller has been silent for [`SILENT_MS`], answers
-    /// turn to the next living balancer, and again after each further such pause.
+    /// Guards against flows on which only the agent sends data and that stall when their balancer
+    /// dies: the caller acknowledges only what reaches it, so an agent that keeps answering through
+    /// the dead balancer never gets a packet through another one. After [`SILENT_MS`] without a
+    /// packet from the caller, answers use the next living balancer, and the next one after each
+    /// further such interval.
     pub fn way(
         &mut self,
         now: Time,
@@ -56,18 +59,18 @@
         Some(way.via)
     }
 
-    /// Forgets callers that have been silent for long.
+    /// Removes the paths of callers that have sent no packet within the retention time.
     pub fn tick(&mut self, now: Time) {
         self.ways.retain(|_, way| now.since(way.heard) < FORGET_MS);
     }
 
-    /// Number of callers remembered.
+    /// Returns the number of callers with a path.
     #[must_use]
     pub fn len(&self) -> usize {
         self.ways.len()
     }
 
-    /// Whether no caller is remembered.
+    /// Returns whether no caller has a path.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.ways.is_empty()
--- a/crates/nutmegkeel_core/src/retry.rs
+++ b/crates/nutmegkeel_core/src/retry.rs
@@ -1,25 +1,26 @@
-//! When a client that was refused should come back, and how much the system itself may retry.
+//! Retries: the pause suggested to refused callers, and the budget for retries by the system
+//! itself.
 
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// Shortest pause suggested to a refused client, in milliseconds.
+/// Minimum pause suggested to a refused caller, in milliseconds.
 const LEAST_PAUSE_MS: u64 = 1_000;
-/// Longest pause suggested, in milliseconds.
+/// Maximum pause suggested to a refused caller, in milliseconds.
 const MOST_PAUSE_MS: u64 = 30_000;
 
-/// Milliseconds after which a refused client should ask again.
+/// Returns the pause after which a refused caller should retry, in milliseconds.
 ///
-/// Guards against refused clients that return together and are refused together again: the pause
-/// is drawn evenly between one and two times the expected wait.
+/// Guards against refused callers that retry at the same time and are refused again: the pause is
+/// uniformly distributed between one and two times the expected wait.
 pub fn pause(rng: &mut SmallRng, expected_wait_ms: u64) -> u64 {
     let base = expected_wait_ms.clamp(LEAST_PAUSE_MS, MOST_PAUSE_MS / 2);
     rng.random_range(base..=2 * base)
 }
 
-/// Tokens that bound the retries of the system to a share of its first tries.
+/// Token bucket that limits the retries of the system to a tenth of its first attempts.
 ///
-/// Guards against retry storms: when every request fails, retries add at most a tenth to the load.
+/// Guards against retry storms: if every request fails, retries add at most a tenth to the load.
 #[derive(Debug, Clone)]
 pub struct Budget {
     tenths: u32,
@@ -29,18 +30,18 @@
     const FULL_TENTHS: u32 = 100;
     const RETRY_TENTHS: u32 = 10;
 
-    /// A budget that allows ten retries before any first try was seen.
+    /// Creates a budget that allows ten retries before the first attempt.
     #[must_use]
     pub const fn open() -> Self {
         Self { tenths: Self::FULL_TENTHS }
     }
 
-    /// Notes one first try.
+    /// Records one first attempt.
     pub fn earn(&mut self) {
         self.tenths = (self.tenths + 1).min(Self::FULL_TENTHS);
     }
 
-    /// Takes one retry out of the budget; false when none is left.
+    /// Spends one retry; returns false if the budget is exhausted.
     pub fn spend(&mut self) -> bool {
         if self.tenths < Self::RETRY_TENTHS {
             return false;
--- a/crates/nutmegkeel_core/src/revision.rs
+++ b/crates/nutmegkeel_core/src/revision.rs
@@ -1,32 +1,34 @@
-//! Points in the history of the platform's store.
+//! Revisions of the platform's store.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// How often the store has come back from an older copy of itself.
+/// Number of times that the store was restored from an older copy.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Era(pub u64);
 
-/// A point in the store's history, in the order in which changes happened. A store that comes back from an older
-/// copy counts its changes from there again, in a later era: numbers alone cannot be compared.
+/// A revision of the store, ordered by the time of the changes.
+///
+/// A store that is restored from an older copy continues its count of changes from that copy in a
+/// later era, so numbers of different eras cannot be compared.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// The era.
+    /// Era of the store.
     pub era: Era,
-    /// Count of changes.
+    /// Number of changes.
     pub number: u64,
 }
 
 impl Revision {
-    /// Before all changes, and what those have who heard of none.
+    /// The revision before all changes, also used where no revision is known.
     pub const ZERO: Self = Self { era: Era(0), number: 0 };
 
-    /// A revision of a store that has never come back from a copy.
+    /// Creates a revision of a store that was never restored from a copy.
     #[must_use]
     pub const fn first_era(number: u64) -> Self {
         Self { era: Era(0), number }
--- a/crates/nutmegkeel_core/src/verdict.rs
+++ b/crates/nutmegkeel_core/src/verdict.rs
@@ -2,20 +2,21 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The verdict that goes with every error a caller or operator sees.
+/// Whether a request may have run, stated with every error that a caller or operator gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
     /// No byte of the request reached a backend server.
     NotRun,
-    /// Some of it may have; nobody may send it again on the caller's behalf.
+    /// Part of the request may have reached one, so the system must not send it again for the
+    /// caller.
     MayHaveRun,
     /// The backend server answered.
     Ran,
 }
 
 impl Verdict {
-    /// The text used in the response header `nutmegkeel-verdict` and in reports.
+    /// Returns the text used in the response header `nutmegkeel-verdict` and in reports.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/nutmegkeel_store/src/claims.rs
+++ b/crates/nutmegkeel_store/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of keyed requests in the platform's service, written in groups.
+//! Claims of requests with an idempotency key in the platform's store, written in batches.
 
 use nutmegkeel_core::claim::{Claim, KEPT_MS, Outcome};
 use nutmegkeel_core::clock::Time;
@@ -6,10 +6,10 @@
 
 use crate::kv::{Committed, Expected, Fault, Lease, Store, Write};
 
-/// Keys of claims begin with this.
+/// Prefix of the keys of claims.
 pub const PREFIX: &str = "nutmegkeel/claims/";
 
-/// What a claim holds: the identity of the request that made it.
+/// Stored value of a claim, which identifies the request that created it.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Value {
     owner: String,
@@ -17,24 +17,24 @@
     request: u64,
 }
 
-/// Writes claims under a lease of its own, so that each is kept for at least
-/// [`KEPT_MS`] and at most twice as long.
+/// Writes claims under a lease of its own, so that each is kept for at least [`KEPT_MS`] and at
+/// most twice as long.
 #[derive(Debug, Default)]
 pub struct Writer {
     lease: Option<(Lease, Time)>,
 }
 
 impl Writer {
-    /// A writer that has no lease yet.
+    /// Creates a writer that has no lease yet.
     #[must_use]
     pub const fn open() -> Self {
         Self { lease: None }
     }
 
-    /// Writes a group; one outcome for each claim in order.
+    /// Writes a batch and returns one outcome for each claim in order.
     ///
-    /// One transaction for all of them in the usual case. When a key exists already, or the answer
-    /// is lost, each claim is settled by itself.
+    /// The batch is one transaction. If a key already exists or the answer is lost, each claim is
+    /// resolved separately.
     pub fn write(&mut self, store: &dyn Store, now: Time, claims: &[Claim]) -> Vec<Outcome> {
         let Ok(lease) = self.lease(store, now) else {
             return vec![Outcome::NotWritten; claims.len()];
@@ -84,8 +84,8 @@
     Write { key: key(claim), value, expected: Expected::Absent, lease: Some(lease) }
 }
 
-/// Settles one claim whose group did not commit, or whose answer was lost: reads it back, and
-/// creates it if it is not there. The identity inside tells an own write from another's.
+/// Resolves one claim whose batch did not commit or got no answer: reads the claim back and creates
+/// it if it does not exist. The stored value tells whether this request or another one created it.
 fn settle(store: &dyn Store, claim: &Claim, lease: Lease) -> Outcome {
     match store.get(&key(claim)) {
         Ok(Some(pair)) => owner(claim, &pair.value),
@@ -97,7 +97,7 @@
 fn create(store: &dyn Store, claim: &Claim, lease: Lease) -> Outcome {
     match store.commit(&[write(claim, lease)]) {
         Ok(Committed::Written(_)) => Outcome::Ours,
-        // The write in doubt, or another agent's, came between the read and this one.
+        // The write without an answer, or that of another agent, took effect after the read.
         Ok(Committed::Differs) | Err(Fault::Lost(_)) => match store.get(&key(claim)) {
             Ok(Some(pair)) => owner(claim, &pair.value),
             Ok(None) | Err(_) => Outcome::Unknown,
--- a/crates/nutmegkeel_store/src/classes.rs
+++ b/crates/nutmegkeel_store/src/classes.rs
@@ -1,4 +1,4 @@
-//! Classes of work in the platform's service: reading them all, and carrying out one change.
+//! Classes of work in the platform's store: reads all of them and carries out changes.
 
 use nutmegkeel_core::change::{Action, Change, Event, Request, Stored, Value};
 use nutmegkeel_core::clock::Time;
@@ -7,21 +7,21 @@
 
 use crate::kv::{Committed, Expected, Fault, Pair, Store, Write};
 
-/// Keys of classes begin with this.
+/// Prefix of the keys of classes.
 pub const PREFIX: &str = "nutmegkeel/classes/";
 
-/// All classes as written.
+/// Reads all classes. Values that cannot be decoded are skipped.
 ///
 /// # Errors
-/// When the platform does not answer.
+/// If the platform does not answer.
 pub fn read(store: &dyn Store) -> Result<Vec<Entry>, Fault> {
     let pairs = store.list(PREFIX)?;
     Ok(pairs.iter().filter_map(entry).collect())
 }
 
-/// Carries out a change to its end; the last action is a final one.
+/// Carries out a change and returns its final action.
 ///
-/// `now` reads the clock and `wait` lets so many milliseconds pass; tests give fakes.
+/// `now` reads the clock and `wait` sleeps for a number of milliseconds; tests pass fakes.
 pub fn change(
     store: &dyn Store,
     request: Request,
@@ -37,7 +37,7 @@
     action
 }
 
-/// Carries out one step of a change; none when the action is a final one.
+/// Carries out one step of a change; returns `None` if the action is final.
 pub fn carry_out(
     store: &dyn Store,
     class: &str,
@@ -69,7 +69,7 @@
 fn get(store: &dyn Store, key: &str) -> Event {
     match store.get(key) {
         Ok(pair) => Event::Read(pair.and_then(|pair| stored(&pair))),
-        // A read changes nothing, so a lost one is as good as one that was never sent.
+        // A read has no effect, so one without an answer is handled like one that was not sent.
         Err(_) => Event::NotSent,
     }
 }
@@ -83,7 +83,7 @@
     let Ok(value) = serde_json::to_vec(value) else {
         return Event::NotSent;
     };
-    // A class that was never written is at revision zero.
+    // Revision zero means that the class does not exist.
     let expected = Some(expected.0).filter(|number| *number > 0);
     let expected = Expected::unchanged(expected.map(revision::Revision::first_era));
     let write = Write { key: key.to_owned(), value, expected, lease: None };
--- a/crates/nutmegkeel_store/src/etcd.rs
+++ b/crates/nutmegkeel_store/src/etcd.rs
@@ -1,4 +1,4 @@
-//! Client of the etcd v3 JSON gateway: range, transaction with compare, lease grant.
+//! Client of the etcd v3 JSON gateway: range reads, transactions with comparisons, lease grants.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use crate::http;
 use crate::kv::{Committed, Fault, Lease, Pair, Store, Write};
 
-/// A call that takes longer is given up and counts as lost.
+/// Timeout of a call, after which its answer counts as lost.
 pub const TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A client of one endpoint, such as `http://10.0.0.1:2379`.
+/// Client of one endpoint, such as `http://10.0.0.1:2379`.
 #[derive(Clone, Debug)]
 pub struct Client {
     endpoint: String,
@@ -22,7 +22,7 @@
 }
 
 impl Client {
-    /// A client; nothing is sent yet.
+    /// Creates a client without connecting.
     #[must_use]
     pub fn open(endpoint: &str) -> Self {
         let config = ureq::Agent::config_builder().timeout_global(Some(TIMEOUT)).build();
@@ -74,7 +74,7 @@
     }
 }
 
-/// The first key behind all keys with this prefix.
+/// Returns the first key after all keys with this prefix.
 fn end_of(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     if let Some(last) = end.last_mut() {
--- a/crates/nutmegkeel_store/src/group.rs
+++ b/crates/nutmegkeel_store/src/group.rs
@@ -1,4 +1,4 @@
-//! Many keys of many owners, written by one process with few calls.
+//! Keys of many owners, written by one process in batches.
 
 use std::collections::BTreeMap;
 
@@ -9,8 +9,8 @@
 use crate::kv::{Committed, Expected, Fault, Registry, Write};
 use crate::lease::Holder;
 
-/// Writes in one transaction: the users' platform takes 32 entries, and each write comes with the condition
-/// that its key has not changed.
+/// Maximum number of writes in one transaction. The users' platform accepts 32 entries, and each
+/// write needs a second one for the condition that its key has not changed.
 const MOST: usize = 16;
 
 /// A value to be written.
@@ -18,48 +18,51 @@
 pub struct Entry {
     /// The key.
     pub key: String,
-    /// Orders the values of one key.
+    /// Sequence number of the value, which orders the values of one key.
     pub number: u64,
     /// The value.
     pub value: Vec<u8>,
 }
 
-/// What is known of a key in the store.
+/// State of a key as last read or written.
 #[derive(Clone, Copy, Debug)]
 struct Known {
     revision: Revision,
     number: u64,
 }
 
-/// A writer of all keys with one prefix. Several may be at work at once, as when each believes that the
-/// other has died: the conditions of the writes and the numbers in the values keep them apart.
+/// Writer of the keys with one prefix.
+///
+/// Several writers may be active at once, for instance when each holds the other for dead. The
+/// conditions of the writes and the sequence numbers in the values keep them consistent.
 #[derive(Debug)]
 pub struct Group {
     prefix: String,
-    /// Reads the number out of a value; none if the value cannot be read.
+    /// Decodes the sequence number of a value; `None` if the value cannot be decoded.
     number: fn(&[u8]) -> Option<u64>,
-    /// Lives as long as a [`Document`](crate::document::Document)'s: what a writer that died has written is
-    /// still there for as long as it may be of use.
+    /// Has the duration of the lease of a [`Document`](crate::document::Document), so that the
+    /// values of a writer that died stay for as long as they can be used.
     lease: Holder,
-    /// The keys as last read or written; none before the first read.
+    /// State of the keys; `None` before the first read.
     known: Option<BTreeMap<String, Known>>,
-    /// Era of the store when they were read.
+    /// Era of the store at the time of the last read.
     era: Era,
 }
 
 impl Group {
-    /// A writer that knows nothing yet.
+    /// Creates a writer that has not read the store yet.
     #[must_use]
     pub const fn open(prefix: String, number: fn(&[u8]) -> Option<u64>) -> Self {
         Self { prefix, number, lease: Holder::open(LEASE_S, RENEW_MS), known: None, era: Era(0) }
     }
 
-    /// Writes values whose number is higher than that in the store. Returns for each key the number that
-    /// the store has now: that of the entry, or a higher one.
+    /// Writes the values whose number is higher than that in the store.
+    ///
+    /// Returns for each key the number that is now in the store: that of the entry or a higher one.
     ///
     /// # Errors
-    /// When the store does not answer, or others go on writing the same keys. Some values may have been
-    /// written.
+    /// If the store does not answer, or if another writer changed the same keys at the same time.
+    /// Some values may have been written.
     pub fn write(
         &mut self,
         store: &dyn Registry,
@@ -86,7 +89,8 @@
         Err(Fault::NotSent(format!("`{}` is written by others too", self.prefix)))
     }
 
-    /// A key has changed behind this writer's back: a lost answer, or another writer.
+    /// Reads the keys again and commits. Needed if a key is not in the known state because an
+    /// answer was lost or another writer changed it.
     fn commit_after_read(
         &mut self,
         store: &dyn Registry,
@@ -97,7 +101,8 @@
         self.commit(store, now, entries)
     }
 
-    /// Writes what is newer than what is known to be in the store; false if a key was not as known.
+    /// Writes the values that are newer than the known ones; returns false, and writes nothing, if
+    /// a key was not in the known state.
     fn commit(
         &mut self,
         store: &dyn Registry,
@@ -117,7 +122,7 @@
             lease: Some(lease),
         };
         let writes: Vec<Write> = newer.iter().map(write).collect();
-        // The lease may have ended meanwhile: the next call begins with a new one.
+        // The lease may have ended since its last renewal: the next call starts with a new one.
         let committed = store.commit(&writes).inspect_err(|_| self.lease.forget())?;
         let Committed::Written(revision) = committed else {
             return Ok(false);
@@ -135,7 +140,7 @@
         }
         let pairs = store.list(&self.prefix)?.into_iter();
         let known = pairs.map(|pair| {
-            // A value that cannot be read, as one of another version, is replaced by any.
+            // Any value may replace one that cannot be decoded, such as one of another version.
             let number = (self.number)(&pair.value).unwrap_or(0);
             (pair.key, Known { revision: pair.revision, number })
         });
@@ -148,8 +153,10 @@
         self.known.as_ref()?.get(key).copied()
     }
 
-    /// Guards against an older list that takes a newer one's place: its owner handed it to a writer that
-    /// was slow, and then a newer one to another.
+    /// Returns whether a value is newer than the known one.
+    ///
+    /// Guards against an older value replacing a newer one: the owner may have passed the older one
+    /// to a slow writer and then the newer one to another writer.
     fn is_newer(&self, entry: &Entry) -> bool {
         self.known(&entry.key).is_none_or(|known| entry.number > known.number)
     }
--- a/crates/nutmegkeel_store/src/http.rs
+++ b/crates/nutmegkeel_store/src/http.rs
@@ -1,8 +1,8 @@
-//! What failed calls over HTTP mean.
+//! Classification of failed HTTP calls.
 
 use crate::kv::Fault;
 
-/// Sorts a failed call by whether it may have taken effect.
+/// Returns the fault of a failed call, which tells whether the call may have taken effect.
 #[must_use]
 pub fn fault(error: ureq::Error) -> Fault {
     match error {
--- a/crates/nutmegkeel_store/src/kv.rs
+++ b/crates/nutmegkeel_store/src/kv.rs
@@ -1,4 +1,4 @@
-//! What the system needs of a key-value service.
+//! Interface of the key-value store that the system needs.
 
 use nutmegkeel_core::l4::watch::Timeouts;
 use nutmegkeel_core::revision::{Era, Revision};
@@ -15,14 +15,14 @@
     pub revision: Revision,
 }
 
-/// Number of a lease; keys written under it vanish when it ends.
+/// Identifier of a lease. Keys written under a lease are deleted when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Lease(pub i64);
 
-/// What must hold of a key for a write to happen.
+/// Condition on a key under which a write takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expected {
-    /// Nothing: whatever is there is replaced.
+    /// No condition: any value is replaced.
     Anything,
     /// The key does not exist.
     Absent,
@@ -31,7 +31,8 @@
 }
 
 impl Expected {
-    /// The count of the revision at which a key must be, zero if it must not exist; none if any will do.
+    /// Returns the number of the revision that the key must have, zero if it must not exist, or
+    /// `None` without a condition.
     #[must_use]
     pub const fn number(self) -> Option<u64> {
         match self {
@@ -41,33 +42,35 @@
         }
     }
 
-    /// Whether this was seen in another era than the present one, and may hold by chance for another content.
+    /// Returns whether the expected revision is of another era than the present one. Its number may
+    /// then match by chance although the value differs.
     #[must_use]
     pub fn is_outdated(self, present: Era) -> bool {
         matches!(self, Self::At(revision) if revision.era != present)
     }
 
-    /// That a key is as it was last seen, at a revision or not there at all.
+    /// Returns the condition that a key is unchanged since it was seen at this revision, or not at
+    /// all.
     #[must_use]
     pub fn unchanged(revision: Option<Revision>) -> Self {
         revision.map_or(Self::Absent, Self::At)
     }
 }
 
-/// One write inside a transaction: happens only if the key is as expected.
+/// One write of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
     /// The key.
     pub key: String,
     /// The new value.
     pub value: Vec<u8>,
-    /// What must hold of the key.
+    /// Condition on the key.
     pub expected: Expected,
-    /// Lease that the key is written under.
+    /// Lease under which the key is written.
     pub lease: Option<Lease>,
 }
 
-/// How a transaction ended.
+/// Result of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Committed {
     /// All writes took effect at this revision.
@@ -76,19 +79,19 @@
     Differs,
 }
 
-/// Why a call to the platform failed.
+/// Reason why a call to the platform failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
     /// The call did not reach the platform.
     #[error("platform not reached: {0}")]
     NotSent(String),
-    /// The call was sent and no usable answer came.
+    /// The call was sent, but no valid answer arrived.
     #[error("platform did not answer: {0}")]
     Lost(String),
 }
 
 impl Fault {
-    /// Whether the call may have taken effect.
+    /// Returns whether the call may have taken effect.
     #[must_use]
     pub const fn verdict(&self) -> Verdict {
         match self {
@@ -98,57 +101,59 @@
     }
 }
 
-/// A key-value service with compare-and-swap and leases.
+/// A key-value store with compare-and-swap and leases.
 pub trait Store: Send + Sync {
     /// Reads one key.
     ///
     /// # Errors
-    /// When the platform does not answer.
+    /// If the platform does not answer.
     fn get(&self, key: &str) -> Result<Option<Pair>, Fault>;
 
-    /// Reads all keys that begin with `prefix`, by key.
+    /// Reads all keys with this prefix, ordered by key.
     ///
     /// # Errors
-    /// When the platform does not answer.
+    /// If the platform does not answer.
     fn list(&self, prefix: &str) -> Result<Vec<Pair>, Fault>;
 
-    /// Writes all or nothing.
+    /// Commits all writes in one transaction.
     ///
     /// # Errors
-    /// When the platform does not answer; the fault's verdict says whether it may have written.
+    /// If the platform does not answer. The verdict of the fault tells whether the writes may have
+    /// taken effect.
     fn commit(&self, writes: &[Write]) -> Result<Committed, Fault>;
 
-    /// Grants a lease that ends after `seconds`.
+    /// Grants a lease that ends after `seconds` unless it is renewed.
     ///
     /// # Errors
-    /// When the platform does not answer.
+    /// If the platform does not answer.
     fn grant(&self, seconds: u64) -> Result<Lease, Fault>;
 }
 
-/// How the renewal of a lease ended.
+/// Result of the renewal of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kept {
-    /// The lease runs anew.
+    /// The lease was renewed.
     Renewed,
-    /// The lease has ended, and its keys are gone.
+    /// The lease has ended, and its keys are deleted.
     Ended,
 }
 
-/// What a watch saw.
+/// Result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Watched {
-    /// What changed up to this revision; nothing if the wait passed first.
+    /// All changes up to this revision; none if the watch timed out first.
     Until(Revision, Vec<Change>),
-    /// The service no longer knows what came behind the given revision; read anew.
+    /// The service no longer has the changes after the given revision, so the keys must be read
+    /// again.
     Forgotten,
 }
 
-/// One change that a watch saw.
+/// One change reported by a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A key was written.
     Written(Pair),
-    /// A key was taken away.
+    /// A key was deleted.
     Deleted {
         /// The key.
         key: String,
@@ -157,58 +162,62 @@
     },
 }
 
-/// The keys that begin with a prefix, and the revision of the whole service that they are no older than.
+/// The keys with a prefix, and a revision of the whole service whose changes they include.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Image {
     /// The keys.
     pub pairs: Vec<Pair>,
-    /// The revision; a watch behind it misses nothing.
+    /// The revision. A watch that starts after it misses no change.
     pub as_of: Revision,
 }
 
-/// A service in which processes register, and which tells of changes.
+/// A store in which processes register and which reports changes.
 pub trait Registry: Store {
-    /// Like [`Store::list`], but the answer may be seconds old and costs little.
+    /// Like [`Store::list`], but cheaper; the answer may be some seconds old.
     ///
     /// # Errors
-    /// When the service does not answer.
+    /// If the service does not answer.
     fn list_recent(&self, prefix: &str) -> Result<Vec<Pair>, Fault>;
 
-    /// Like [`Registry::image`], but the answer may be seconds old and costs little.
+    /// Like [`Registry::image`], but cheaper; the answer may be some seconds old.
     ///
     /// # Errors
-    /// When the service does not answer.
+    /// If the service does not answer.
     fn image_recent(&self, prefix: &str) -> Result<Image, Fault>;
 
-    /// Reads all keys that begin with `prefix`, with the revision from which a watch goes on. The keys'
-    /// own revisions will not do: the service may have dropped the history behind them.
+    /// Reads all keys with this prefix and the revision after which a watch can start.
+    ///
+    /// A watch cannot start at the highest revision of the keys themselves, because the service may
+    /// have dropped the history after it.
     ///
     /// # Errors
-    /// When the service does not answer.
+    /// If the service does not answer.
     fn image(&self, prefix: &str) -> Result<Image, Fault>;
 
-    /// The era of the service, as far as its answers have told. What was written under a lease of an earlier one
-    /// may be gone.
+    /// Returns the era of the service according to its latest answers. Keys that were written under
+    /// a lease of an earlier era may be gone.
     fn era(&self) -> Era;
 
     /// Renews a lease.
     ///
     /// # Errors
-    /// When the service does not answer.
+    /// If the service does not answer.
     fn keep(&self, lease: Lease) -> Result<Kept, Fault>;
 
-    /// Waits for a change behind revision `after` of a key with this prefix, within `timeouts`.
+    /// Waits for a change after revision `after` to a key with this prefix, within `timeouts`.
     ///
     /// # Errors
-    /// When the service does not answer.
+    /// If the service does not answer.
     fn watch(&self, prefix: &str, after: Revision, timeouts: Timeouts) -> Result<Watched, Fault>;
 }
 
-/// Writes over whatever is there, but not over what somebody writes meanwhile: a write that is carried out
-/// late must not replace a newer one. Returns the revision of the write.
+/// Replaces the value of a key and returns the revision of the write.
+///
+/// The write is conditional on the revision read just before it, so that a write that takes effect
+/// late does not replace a newer one.
 ///
 /// # Errors
-/// When the service does not answer, or somebody else goes on writing the key.
+/// If the service does not answer, or if another process changes the key at the same time.
 pub fn overwrite(store: &dyn Store, mut write: Write) -> Result<Revision, Fault> {
     if let Committed::Written(revision) = store.commit(std::slice::from_ref(&write))? {
         return Ok(revision);
--- a/crates/nutmegkeel_store/src/lease.rs
+++ b/crates/nutmegkeel_store/src/lease.rs
@@ -1,4 +1,4 @@
-//! A lease that one process holds: granted when there is none, renewed while it is used.
+//! A lease of one process, granted when needed and renewed while it is used.
 
 use nutmegkeel_core::clock::Time;
 use nutmegkeel_core::revision::Era;
@@ -11,26 +11,28 @@
     seconds: u64,
     renew_ms: u64,
     lease: Option<Lease>,
-    /// Era of the store in which it was granted.
+    /// Era of the store in which the lease was granted.
     era: Era,
     renewed: Time,
 }
 
 impl Holder {
-    /// A holder of a lease that lives for `seconds` and is renewed each `renew_ms`.
+    /// Creates a holder without a lease. Its leases last for `seconds` and are renewed every
+    /// `renew_ms`.
     #[must_use]
     pub const fn open(seconds: u64, renew_ms: u64) -> Self {
         Self { seconds, renew_ms, lease: None, era: Era(0), renewed: Time::ZERO }
     }
 
-    /// The lease, renewed if that is due. The flag says that it is a new one: what was written under
-    /// an earlier one is gone, or will be.
+    /// Returns the lease, renewed or newly granted if needed. The flag is true for a new lease:
+    /// keys written under an earlier one are deleted or will be.
     ///
-    /// Guards against a store that came back from an older copy: it does not know a lease that it granted later,
-    /// and may have given its number to somebody else since.
+    /// Guards against the renewal of a lease of another process after the store was restored from
+    /// an older copy: the store has lost leases granted after that copy and may assign their
+    /// identifiers again. A lease of another era is therefore never renewed.
     ///
     /// # Errors
-    /// When the store does not answer.
+    /// If the store does not answer.
     pub fn hold(&mut self, store: &dyn Registry, now: Time) -> Result<(Lease, bool), Fault> {
         let is_lost = self.era != store.era();
         match self.lease.filter(|_| !is_lost) {
@@ -46,13 +48,13 @@
         }
     }
 
-    /// Whether there is a lease, as far as this process knows.
+    /// Returns whether this process holds a lease as far as it knows.
     #[must_use]
     pub const fn is_held(&self) -> bool {
         self.lease.is_some()
     }
 
-    /// Forgets the lease: it may have ended. The next call begins with a new one.
+    /// Drops the lease because it may have ended. The next call requests a new one.
     pub const fn forget(&mut self) {
         self.lease = None;
     }
--- a/crates/nutmegkeel_store/src/lib.rs
+++ b/crates/nutmegkeel_store/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service: what lasts, and how the system reads and writes it.
+//! Persistent state in the platform's key-value store.
 
 pub mod claims;
 pub mod classes;
--- a/crates/nutmegkeel_store/src/registration.rs
+++ b/crates/nutmegkeel_store/src/registration.rs
@@ -1,27 +1,28 @@
-//! A process's entry in the store, under a lease: others find the process by it, and it vanishes
-//! when the process does.
+//! Registration of a process: an entry in the store by which others find the process. The entry has
+//! a lease, so it is deleted after the process has ended.
 
 use nutmegkeel_core::clock::Time;
 
 use crate::kv::{Committed, Expected, Fault, Lease, Pair, Registry, Write};
 use crate::lease::Holder;
 
-/// Life of the lease, in seconds. Others drop a silent process by themselves within 12 s, so a
-/// shorter one would only cost renewals.
+/// Duration of the lease, in seconds. Other processes remove a process that sends nothing within
+/// 12 s on their own, so a shorter lease would only cost more renewals.
 pub const LEASE_S: u64 = 8;
 
-/// Pause between two renewals, in milliseconds: three fit into a lease, so that one may be lost.
+/// Interval between two renewals, in milliseconds. Three fit into the duration of the lease, so one
+/// may be lost.
 pub const RENEW_MS: u64 = 2_500;
 
-/// An entry that a cheap list lacks is written again only when it is older than this: such a list
-/// may be seconds old.
+/// An entry that is missing from a list is written again only if it was written longer ago than
+/// this, in milliseconds, because a list may be some seconds old.
 const LIST_AGE_MS: u64 = 6_000;
 
-/// An entry whose value has changed is written again this much after it was written, in milliseconds: each write
-/// is paid for, and a value that is some seconds old still serves.
+/// Minimum interval between two writes of a changed value, in milliseconds. Each write has a cost,
+/// and a value that is some seconds old is sufficient.
 const REWRITE_MS: u64 = 5_000;
 
-/// The entry and its lease.
+/// The entry of a process and its lease.
 #[derive(Debug)]
 pub struct Registration {
     key: String,
@@ -31,13 +32,14 @@
 }
 
 impl Registration {
-    /// An entry that is not written yet.
+    /// Creates an entry that has not been written yet.
     #[must_use]
     pub const fn open(key: String, value: Vec<u8>) -> Self {
         Self { key, value, lease: Holder::open(LEASE_S, RENEW_MS), written: None }
     }
 
-    /// Sets what the entry is to say from now on; it is written again soon if it says something else.
+    /// Sets the value of the entry, unless the entry was written less than [`REWRITE_MS`] ago. The
+    /// next step writes a value that differs.
     pub fn set_value(&mut self, now: Time, value: Vec<u8>) {
         if self.value == value || self.written.is_some_and(|at| now.since(at) < REWRITE_MS) {
             return;
@@ -46,10 +48,10 @@
         self.written = None;
     }
 
-    /// Does what is due: grants the lease, writes the entry, renews the lease.
+    /// Grants or renews the lease and writes the entry, each only if due.
     ///
     /// # Errors
-    /// When the store does not answer; the next call goes on from there.
+    /// If the store does not answer; the next call continues from there.
     pub fn step(&mut self, store: &dyn Registry, now: Time) -> Result<(), Fault> {
         let (lease, is_new) = self.lease.hold(store, now)?;
         if is_new {
@@ -62,8 +64,10 @@
         Ok(())
     }
 
-    /// Takes in a list of all entries. Guards against a store that took the key away while the lease
-    /// runs on: renewals would succeed, and nobody would find this process.
+    /// Checks a list of all entries and marks the own entry to be written again if it is missing.
+    ///
+    /// Guards against a store that deleted the key while the lease is still valid: renewals would
+    /// succeed, and no other process would find this one.
     pub fn listed(&mut self, now: Time, pairs: &[Pair]) {
         let settled = self.written.is_some_and(|written| now.since(written) > LIST_AGE_MS);
         if settled && !pairs.iter().any(|pair| pair.key == self.key) {
@@ -71,8 +75,11 @@
         }
     }
 
-    /// The address is this process's, so an older entry is that of its predecessor. One that a call of the
-    /// predecessor writes late vanishes with its lease, and is missed in the next list.
+    /// Writes the entry and replaces any other one.
+    ///
+    /// The key contains the address of this process, so an older entry was written by its
+    /// predecessor. If a delayed write of the predecessor replaces this entry, it is deleted with
+    /// the predecessor's lease and then found missing in the next list.
     fn write(&mut self, store: &dyn Registry, lease: Lease) -> Result<(), Fault> {
         let write = Write {
             key: self.key.clone(),
@@ -80,7 +87,7 @@
             expected: Expected::Anything,
             lease: Some(lease),
         };
-        // The lease may have ended meanwhile: the next step begins with a new one.
+        // The lease may have ended since its last renewal: the next step starts with a new one.
         match store.commit(&[write]).inspect_err(|_| self.lease.forget())? {
             Committed::Written(_) => Ok(()),
             Committed::Differs => Err(Fault::NotSent(format!("`{}` was not written", self.key))),
--- a/crates/nutmegkeel_wire/src/cid.rs
+++ b/crates/nutmegkeel_wire/src/cid.rs
@@ -1,7 +1,7 @@
-//! Connection IDs that tell any balancer where a flow lives, and tell nobody else anything.
+//! Encrypted connection IDs from which any balancer decodes the agent of a flow.
 //!
-//! The idea is that of routable connection IDs in the IETF draft on QUIC load balancing. Layout:
-//! one byte key index, sixteen bytes AES block (IPv4 address, port, instance, nonce), three bytes
+//! They follow the routable connection IDs of the IETF draft on QUIC load balancing. Layout: one
+//! byte key index, a sixteen-byte AES block (IPv4 address, port, instance, nonce) and a three-byte
 //! tag over the class and the block.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -14,7 +14,8 @@
 
 use crate::key::{Index, Key, Ring};
 
-/// Length of an issued connection ID in bytes; the most that QUIC version 1 allows (RFC 9000, 17.2).
+/// Length of an issued connection ID in bytes, which is the maximum in QUIC version 1 (RFC 9000,
+/// section 17.2).
 pub const LENGTH: usize = 20;
 const BLOCK: usize = 16;
 const TAG: usize = 3;
@@ -24,16 +25,16 @@
 /// An encoded connection ID.
 pub type Bytes = [u8; LENGTH];
 
-/// Why bytes are no connection ID of this system.
+/// Reason why a connection ID cannot be encoded or decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// Not of the issued length.
+    /// The length is not that of an issued connection ID.
     #[error("connection ID has {0} bytes, issued ones have {LENGTH}")]
     Length(usize),
-    /// Made with a key that is not accepted here.
+    /// The key index is not accepted.
     #[error("connection ID names key {0}, which is not accepted here")]
     Key(u8),
-    /// Forged, damaged, or issued for another class.
+    /// The tag does not match: the ID is forged, damaged or issued for another class.
     #[error("connection ID does not belong to this class address")]
     Tag,
     /// The agent's address is not IPv4.
@@ -41,10 +42,10 @@
     Address(SocketAddr),
 }
 
-/// Issues a connection ID for a flow at `hop`. Each call of one run needs another `nonce`.
+/// Encodes a connection ID for a flow at `hop`. Each call of one instance needs another `nonce`.
 ///
 /// # Errors
-/// [`Fault::Address`] when the agent's address does not fit.
+/// [`Fault::Address`] if the address of the agent is not IPv4.
 pub fn encode(ring: &Ring, class: class::Id, hop: Hop, nonce: u64) -> Result<Bytes, Fault> {
     let SocketAddr::V4(address) = hop.address else {
         return Err(Fault::Address(hop.address));
@@ -65,13 +66,14 @@
     Ok(bytes)
 }
 
-/// Where the flow with this connection ID lives.
+/// Decodes the agent of the flow with this connection ID.
 ///
-/// Guards against packets at the wrong desk: the tag covers the class of the address that the
-/// packet came by, so an ID issued for another class, or a forged one, names no agent at all.
+/// Guards against packets that reach a backend server of another class: the tag covers the class
+/// whose address received the packet, so an ID that is forged or was issued for another class is
+/// refused.
 ///
 /// # Errors
-/// Says why the bytes were not issued by this system for this class.
+/// If the bytes were not issued by this system for this class.
 pub fn decode(ring: &Ring, class: class::Id, bytes: &[u8]) -> Result<Hop, Fault> {
     let bytes: &Bytes = bytes.try_into().map_err(|_| Fault::Length(bytes.len()))?;
     let key = ring.get(Index(bytes[0])).ok_or(Fault::Key(bytes[0]))?;
--- a/crates/nutmegkeel_wire/src/frame.rs
+++ b/crates/nutmegkeel_wire/src/frame.rs
@@ -1,9 +1,9 @@
-//! Frames between processes: a caller's packet on its way in or out, or a message of a peer.
+//! Frames between processes: a packet from or to a caller, or a message between peers.
 //!
-//! Layout: version byte, key index, sixteen bytes MAC, the header (postcard), the packet. The MAC
-//! covers the header, the packet's length and its first bytes. The rest of a packet is protected
-//! end to end by QUIC itself, so hashing all of it twice more would buy nothing. The version byte
-//! has both upper bits clear, which no QUIC packet of version 1 has.
+//! Layout: version byte, key index, sixteen-byte MAC, header (postcard), packet. The MAC covers the
+//! header, the length of the packet and its first bytes. QUIC protects the rest of the packet end
+//! to end, so hashing all of it would add cost without benefit. The two highest bits of the version
+//! byte are zero, which is not the case for any packet of QUIC version 1.
 
 use std::net::SocketAddr;
 
@@ -22,49 +22,50 @@
 const VERSION: u8 = 1;
 const MAC: usize = 16;
 const HEADER_AT: usize = 2 + MAC;
-/// Bytes of the packet that the MAC covers.
+/// Number of bytes of the packet that the MAC covers.
 const COVERED: usize = 64;
-/// A frame whose stamp differs more from the clock is dropped, in milliseconds.
+/// Maximum difference between the time stamp of a frame and the clock, in milliseconds. Other
+/// frames are dropped.
 pub const STALE_MS: u64 = 30_000;
-/// Largest datagram that is read.
+/// Maximum length of a datagram, in bytes.
 pub const LARGEST: usize = 2_048;
 
-/// A caller's packet on its way to an agent.
+/// Header of a packet from a caller to an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inbound {
-    /// Class of the address that it came by.
+    /// Class of the address that received the packet.
     pub class: class::Id,
-    /// The caller's address.
+    /// Address of the caller.
     pub caller: SocketAddr,
-    /// The balancer it came by.
+    /// The balancer that received the packet.
     pub via: SocketAddr,
-    /// The run that must take it.
+    /// The agent's instance that must accept the packet.
     pub instance: Instance,
-    /// Set when it opens a flow.
+    /// Set if the packet opens a flow.
     pub opening: Option<Opening>,
 }
 
-/// An agent's packet on its way to a caller.
+/// Header of a packet from an agent to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outbound {
-    /// Class of the address that it leaves by.
+    /// Class of the address from which the packet is sent.
     pub class: class::Id,
-    /// The caller's address.
+    /// Address of the caller.
     pub caller: SocketAddr,
-    /// The agent that answers.
+    /// The agent that sent the packet.
     pub agent: Hop,
-    /// The load of the agent's backend server.
+    /// Load of the agent's backend server.
     pub report: Report,
 }
 
-/// What a frame is.
+/// Header of a frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Header {
     /// See [`Inbound`].
     Inbound(Inbound),
     /// See [`Outbound`].
     Outbound(Outbound),
-    /// A message of the peer at this address.
+    /// A message from the peer at this address.
     Message(SocketAddr, Message),
 }
 
@@ -77,33 +78,33 @@
 /// A decoded frame. The packet is empty for messages.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// What it is.
+    /// The header.
     pub header: Header,
-    /// The caller's or the agent's packet.
+    /// The packet of the caller or agent.
     pub packet: &'a [u8],
 }
 
-/// Why bytes are no frame of this system. Each one is a counted drop.
+/// Reason why a frame is dropped. Drops are counted by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// Too short, or of another version.
+    /// The datagram is too short or has another version.
     #[error("not a frame")]
     Shape,
-    /// Made with a key that is not accepted here.
+    /// The key index is not accepted.
     #[error("frame names key {0}, which is not accepted here")]
     Key(u8),
-    /// Forged or damaged.
+    /// The MAC does not match: the frame is forged or damaged.
     #[error("frame authentication failed")]
     Mac,
-    /// Sent long ago, or by a host whose clock is far off.
+    /// The frame was sent too long ago, or the clocks of both hosts differ too much.
     #[error("frame is {0} ms away from this clock")]
     Stale(u64),
-    /// The header cannot be read.
+    /// The header cannot be decoded.
     #[error("frame header is malformed")]
     Header,
 }
 
-/// Whether a datagram is a frame rather than a caller's packet.
+/// Returns whether a datagram is a frame and not a packet of a caller.
 #[must_use]
 pub fn is_frame(datagram: &[u8]) -> bool {
     datagram.first() == Some(&VERSION)
@@ -117,7 +118,8 @@
     buffer.extend_from_slice(&[0; MAC]);
     let stamped = Stamped { stamp: now, header };
     let start = std::mem::take(buffer);
-    // Writing to memory fails only when a type cannot be serialised, which a test rules out.
+    // Encoding into a growable buffer fails only for types that cannot be serialized; tests encode
+    // these types.
     *buffer = postcard::to_extend(&stamped, start).unwrap_or_default();
     let header_end = buffer.len();
     buffer.extend_from_slice(packet);
@@ -129,11 +131,11 @@
 
 /// Decodes a frame.
 ///
-/// Guards against senders without the key (the system is no open reflector) and against frames
-/// recorded and sent again later.
+/// The MAC guards against senders without the key, for which the system would be an open reflector.
+/// The time stamp guards against replays of recorded frames.
 ///
 /// # Errors
-/// Says why the bytes are not a frame to act upon.
+/// If the datagram is not a valid frame.
 pub fn decode<'a>(ring: &Ring, now: Time, datagram: &'a [u8]) -> Result<Frame<'a>, Fault> {
     if datagram.len() < HEADER_AT || !is_frame(datagram) {
         return Err(Fault::Shape);
@@ -165,7 +167,7 @@
     mac
 }
 
-/// Compares without telling by its duration where two MACs differ.
+/// Compares two MACs in constant time.
 fn same(one: &[u8; MAC], other: &[u8]) -> bool {
     one.iter().zip(other).fold(0, |difference, (a, b)| difference | (a ^ b)) == 0
 }
--- a/crates/nutmegkeel_wire/src/key.rs
+++ b/crates/nutmegkeel_wire/src/key.rs
@@ -1,4 +1,5 @@
-//! Shared keys: one is used, older and newer ones are accepted, so that a rotation breaks no flow.
+//! Shared keys: one is used for sending, and others are accepted too, so that a key rotation breaks
+//! no flow.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,14 +8,14 @@
 use aes::cipher::KeyInit;
 use ring::hmac;
 
-/// Number of a key, visible in each frame and connection ID.
+/// Index of a key, sent in clear in each frame and connection ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Index(pub u8);
 
 /// Length of a shared key in bytes.
 pub const LENGTH: usize = 32;
 
-/// What is derived from one shared key. Never printed.
+/// Keys derived from one shared key. `Debug` does not print them.
 #[derive(Clone)]
 pub struct Key {
     pub(crate) frame: [u8; LENGTH],
@@ -44,17 +45,17 @@
     }
 }
 
-/// All keys that are accepted and the one that is used.
+/// All accepted keys, one of which is used for sending.
 #[derive(Clone, Debug)]
 pub struct Ring {
     keys: BTreeMap<Index, Key>,
     used: Index,
 }
 
-/// Why a key ring could not be made.
+/// Reason why a key ring is invalid.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// A key text that is not 64 hexadecimal digits.
+    /// The text of a key is not 64 hexadecimal digits.
     #[error("key {0}: must be {digits} hexadecimal digits", digits = 2 * LENGTH)]
     Text(u8),
     /// The used index has no key.
@@ -63,10 +64,10 @@
 }
 
 impl Ring {
-    /// A ring of keys given as hexadecimal text by index.
+    /// Creates a ring from keys as hexadecimal text by index.
     ///
     /// # Errors
-    /// Names the index of the first key that is malformed, or a used index without a key.
+    /// If a key is malformed or the used index has no key.
     pub fn open(texts: &BTreeMap<u8, String>, used: u8) -> Result<Self, Fault> {
         let mut keys = BTreeMap::new();
         for (index, text) in texts {
@@ -79,13 +80,13 @@
         Ok(Self { keys, used: Index(used) })
     }
 
-    /// The key with this index, if it is accepted.
+    /// Returns the key with this index if it is accepted.
     #[must_use]
     pub fn get(&self, index: Index) -> Option<&Key> {
         self.keys.get(&index)
     }
 
-    /// The key for what is sent now, and its index.
+    /// Returns the key used for sending and its index.
     #[must_use]
     pub fn used(&self) -> (Index, &Key) {
         (self.used, &self.keys[&self.used])
--- a/crates/nutmegkeel_wire/src/lib.rs
+++ b/crates/nutmegkeel_wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! What travels between the processes of the system, and the keys that protect it.
+//! Formats of the data that processes exchange and store, and the keys that protect them.
 
 pub mod checkpoint;
 pub mod cid;
--- a/crates/nutmegkeel_wire/src/packet.rs
+++ b/crates/nutmegkeel_wire/src/packet.rs
@@ -1,4 +1,5 @@
-//! The little a balancer reads of a caller's packet: the version-independent header (RFC 8999).
+//! Parser of the version-independent header of QUIC packets (RFC 8999), the only part that a
+//! balancer reads.
 
 use std::io::Cursor;
 
@@ -9,23 +10,23 @@
 
 use crate::cid;
 
-/// QUIC version 1 (RFC 9000).
+/// Supported versions: QUIC version 1 (RFC 9000).
 const VERSIONS: [u32; 1] = [1];
-/// First bit of a long header.
+/// Bit of the first byte that marks a long header.
 const LONG: u8 = 0x80;
-/// A short header: the first byte and the connection ID.
+/// Length of a short header: the first byte and the connection ID.
 const SHORT_HEADER: usize = 1 + cid::LENGTH;
 
 /// The form of a packet's header and its destination connection ID.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Header {
-    /// Long: may open a flow, then the ID is the caller's choice.
+    /// Long header. The packet may open a flow; then the caller chose the ID.
     Long(ConnectionId),
-    /// Short: belongs to a flow, the ID was issued here.
+    /// Short header. The packet belongs to a flow, and the system issued the ID.
     Short(ConnectionId),
 }
 
-/// The header of a caller's datagram, or none when it is no QUIC packet.
+/// Returns the header of a caller's datagram, or `None` if it is not a QUIC packet.
 #[must_use]
 pub fn header(datagram: &[u8]) -> Option<Header> {
     let first = *datagram.first()?;
@@ -41,7 +42,7 @@
     let parser = FixedLengthConnectionIdParser::new(cid::LENGTH);
     match ProtectedHeader::decode(&mut cursor, &parser, &VERSIONS, false) {
         Ok(header) => Some(*header.dst_cid()),
-        // The agent answers other versions with version negotiation.
+        // The agent answers unsupported versions with version negotiation.
         Err(PacketDecodeError::UnsupportedVersion { dst_cid, .. }) => Some(dst_cid),
         Err(PacketDecodeError::InvalidHeader(_)) => None,
     }
--- a/crates/nutmegkeel_wire/src/reset.rs
+++ b/crates/nutmegkeel_wire/src/reset.rs
@@ -1,7 +1,7 @@
-//! Stateless resets (RFC 9000, section 10.3): the immediate end of a flow whose agent is gone.
+//! Stateless resets (RFC 9000, section 10.3), which end a flow whose agent is gone.
 //!
-//! The token is derived from the connection ID and the shared key alone, so that any balancer can
-//! end a flow whose agent no longer can.
+//! The token is derived only from the connection ID and the shared key, so that any balancer can
+//! send the reset in place of the agent.
 
 use quinn_proto::crypto::{CryptoError, HmacKey};
 use ring::hmac;
@@ -10,9 +10,10 @@
 
 /// Length of a reset token in bytes.
 const TOKEN: usize = 16;
-/// Least length of a reset that cannot be told from a short packet with a connection ID.
+/// Minimum length of a reset in bytes. A shorter one could be distinguished from a packet with a
+/// short header and a connection ID.
 const LEAST: usize = 5 + TOKEN;
-/// Preferred length.
+/// Length of a reset in bytes, if the packet that it answers is long enough.
 const USUAL: usize = 43;
 
 /// Signs reset tokens for the QUIC library with the key that a connection ID names.
@@ -22,7 +23,7 @@
 }
 
 impl Signer {
-    /// A signer over the accepted keys.
+    /// Creates a signer with the accepted keys.
     #[must_use]
     pub const fn open(ring: Ring) -> Self {
         Self { ring }
@@ -48,9 +49,11 @@
     }
 }
 
-/// The reset that ends the flow of `cid`, in answer to a packet of `provoked_by` bytes; none when
-/// that packet was too short. A reset is shorter than its cause, so two ends never reset each
-/// other for ever.
+/// Returns the reset that ends the flow of `cid`, in answer to a packet of `provoked_by` bytes, or
+/// `None` if that packet is too short.
+///
+/// A reset is shorter than the packet that it answers, so that two endpoints cannot answer each
+/// other's resets in an endless loop.
 #[must_use]
 pub fn packet(ring: &Ring, cid: &[u8], provoked_by: usize, noise: u64) -> Option<Vec<u8>> {
     let length = USUAL.min(provoked_by.checked_sub(1)?);
