--- a/crates/nutmegkeel_core/src/admission.rs
+++ b/crates/nutmegkeel_core/src/admission.rs
@@ -50,7 +50,7 @@
     ramp_percent: u64,
     running: BTreeMap<Id, Time>,
     queue: VecDeque<Waiting>,
-    service: Pace,
+    service: Estimate,
     rng: SmallRng,
 }
 
@@ -72,7 +72,7 @@
             ramp_percent: 100,
             running: BTreeMap::new(),
             queue: VecDeque::new(),
-            service: Pace::default(),
+            service: Estimate::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
@@ -127,7 +127,7 @@
             self.limit_percent = (self.limit_percent / 2).max(Self::LEAST_PERCENT);
         } else {
             self.limit_percent = (self.limit_percent + Self::GROW_PERCENT).min(100);
-            self.service.learn(now.since(started));
+            self.service.add(now.since(started));
         }
         self.pull(now)
     }
@@ -175,7 +175,7 @@
     /// Refuses queued requests that can no longer finish before their deadline, so that their
     /// callers are answered now and not when the deadline passes.
     fn give_up_late(&mut self, now: Time) -> Vec<Decision> {
-        let service_ms = self.service.most_us() / 1_000;
+        let service_ms = self.service.upper_us() / 1_000;
         let (late, waiting): (VecDeque<_>, VecDeque<_>) =
             self.queue.drain(..).partition(|waiting| now.after(service_ms) > waiting.deadline);
         self.queue = waiting;
@@ -193,25 +193,25 @@
     }
 
     fn expected_end(&self, now: Time, ahead: usize) -> Time {
-        now.after((self.wait_us(ahead) + self.service.most_us()) / 1_000)
+        now.after((self.wait_us(ahead) + self.service.upper_us()) / 1_000)
     }
 }
 
 /// Estimate of the service time: smoothed mean and deviation in microseconds, weighted like the
 /// round-trip time of TCP (RFC 6298, section 2).
 #[derive(Debug)]
-pub(crate) struct Pace {
+pub(crate) struct Estimate {
     mean_us: u64,
     deviation_us: u64,
 }
 
-impl Default for Pace {
+impl Default for Estimate {
     fn default() -> Self {
         Self { mean_us: Self::FIRST_MEAN_US, deviation_us: 0 }
     }
 }
 
-impl Pace {
+impl Estimate {
     /// Mean before the first sample.
     const FIRST_MEAN_US: u64 = 20_000;
     /// A sample has a weight of one eighth in the mean.
@@ -223,7 +223,7 @@
     ///
     /// The mean alone is too short: of the requests that start with only the mean left before
     /// their deadline, half miss it and waste their slot.
-    pub(crate) const fn most_us(&self) -> u64 {
+    pub(crate) const fn upper_us(&self) -> u64 {
         self.mean_us + 2 * self.deviation_us
     }
 
@@ -233,7 +233,7 @@
     }
 
     /// Adds the service time of one request.
-    pub(crate) fn learn(&mut self, sample_ms: u64) {
+    pub(crate) fn add(&mut self, sample_ms: u64) {
         let sample_us = sample_ms * 1_000;
         let off_us = sample_us.abs_diff(self.mean_us);
         self.deviation_us = smooth(self.deviation_us, off_us, Self::DEVIATION_SHIFT);
--- a/crates/nutmegkeel_core/src/agent.rs
+++ b/crates/nutmegkeel_core/src/agent.rs
@@ -9,14 +9,14 @@
 use crate::admission::{Decision, Gate, Id, Reason};
 use crate::claim::{Claim, Ledger, Name, Outcome, Settled};
 use crate::clock::Time;
-use crate::life::{Life, Phase, Stage};
+use crate::lifecycle::{Lifecycle, Phase, Stage};
 use crate::load::Report;
 use crate::member::{Capacity, Record, Role};
-use crate::membership::Pace;
+use crate::membership::Timing;
 use crate::peer::{self, Message, Peer};
 use crate::placement::{Choice, Hop, Key};
-use crate::reply::Paths;
 use crate::retry::Budget;
+use crate::return_path::Paths;
 
 /// How long the decision about an opening is kept for its retransmissions, in milliseconds.
 const OPENING_MS: u64 = 10_000;
@@ -26,7 +26,7 @@
 /// milliseconds.
 pub const LINGER_MS: u64 = 500;
 /// Maximum number of times that one opening is passed on from agent to agent.
-pub const MOST_PASSES: u8 = 2;
+pub const MAX_PASSES: u8 = 2;
 
 /// The first packet of a flow as it reaches an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,21 +38,21 @@
     /// Number of times that it was passed on from agent to agent.
     pub passes: u8,
     /// Whether the balancer prefers the second choice because this agent is more loaded.
-    pub spares: bool,
+    pub prefers_next: bool,
 }
 
 impl Opening {
     /// Creates the opening that a balancer sends to the first agent of `choice`.
     #[must_use]
     pub const fn open(key: Key, choice: &Choice) -> Self {
-        Self { key, next: choice.next, passes: 0, spares: choice.spares_first }
+        Self { key, next: choice.next, passes: 0, prefers_next: choice.prefers_next }
     }
 
     /// Returns the opening as it is passed on to another agent; `by` is the agent that passes it
     /// on and becomes the second choice.
     #[must_use]
-    pub const fn passed_on(self, by: Hop) -> Self {
-        Self { next: Some(by), passes: self.passes + 1, spares: false, ..self }
+    pub const fn forward_to(self, by: Hop) -> Self {
+        Self { next: Some(by), passes: self.passes + 1, prefers_next: false, ..self }
     }
 }
 
@@ -132,10 +132,10 @@
 impl Agent {
     /// Creates an agent whose backend server has not announced itself yet.
     #[must_use]
-    pub fn open(me: Record, capacity: Capacity, pace: Pace, seed: u64) -> Self {
+    pub fn open(me: Record, capacity: Capacity, timing: Timing, seed: u64) -> Self {
         Self {
-            peer: Peer::open(me, pace, seed),
-            stage: Stage::Announced(Life::begin()),
+            peer: Peer::open(me, timing, seed),
+            stage: Stage::Announced(Lifecycle::begin()),
             gate: Gate::open(capacity.slots, seed),
             capacity,
             ledger: Ledger::default(),
@@ -174,13 +174,13 @@
     }
 
     /// Records that a packet of `caller` arrived through the balancer `via`.
-    pub fn heard_caller(&mut self, now: Time, caller: SocketAddr, via: SocketAddr) {
-        self.paths.heard(now, caller, via);
+    pub fn record_caller(&mut self, now: Time, caller: SocketAddr, via: SocketAddr) {
+        self.paths.record(now, caller, via);
     }
 
     /// Returns the balancer through which to answer a caller.
-    pub fn way(&mut self, now: Time, caller: SocketAddr) -> Option<SocketAddr> {
-        self.paths.way(now, caller, self.peer.balancers())
+    pub fn return_path(&mut self, now: Time, caller: SocketAddr) -> Option<SocketAddr> {
+        self.paths.choose(now, caller, self.peer.balancers())
     }
 
     /// Spends one retry of an idempotent request from the budget; returns false if none is left.
@@ -216,7 +216,7 @@
 
     fn leave(&mut self, now: Time) -> Vec<Action> {
         let mut actions = self.move_on(now, |stage| stage.leave(now));
-        actions.extend(wrap(self.peer.farewell()));
+        actions.extend(wrap(self.peer.push_record()));
         actions
     }
 
@@ -245,8 +245,8 @@
             }
             Some(Some(_)) | None => {}
         }
-        let may_pass = opening.passes < MOST_PASSES;
-        let wants_to = opening.spares || !self.takes_new();
+        let may_pass = opening.passes < MAX_PASSES;
+        let wants_to = opening.prefers_next || !self.takes_new();
         let passed_to = opening.next.filter(|_| wants_to && may_pass);
         if self.openings.len() < MOST_OPENINGS {
             self.openings.insert(opening.key, Way { since: now, passed_to });
@@ -285,7 +285,7 @@
         let claim = Claim { name, owner: self.hop(), id };
         // A request that has already ended must not run: the default deadline is in the past.
         let deadline = self.requests.get(&id).copied().unwrap_or_default();
-        self.ledger.ask(claim, deadline);
+        self.ledger.request(claim, deadline);
         self.write_group()
     }
 
@@ -297,7 +297,7 @@
     }
 
     fn write_group(&mut self) -> Vec<Action> {
-        self.ledger.group().into_iter().map(Action::Write).collect()
+        self.ledger.next_batch().into_iter().map(Action::Write).collect()
     }
 
     fn finished(&mut self, now: Time, id: Id, shed: bool) -> Vec<Action> {
@@ -308,7 +308,7 @@
 
     fn cancelled(&mut self, now: Time, id: Id) -> Vec<Action> {
         self.requests.remove(&id);
-        self.ledger.forget(id);
+        self.ledger.cancel(id);
         let decisions = self.gate.cancel(now, id);
         self.decided(decisions)
     }
@@ -350,7 +350,7 @@
 
     fn move_on(&mut self, now: Time, step: impl FnOnce(Stage) -> Stage) -> Vec<Action> {
         let before = self.phase();
-        let stage = std::mem::replace(&mut self.stage, Stage::Announced(Life::begin()));
+        let stage = std::mem::replace(&mut self.stage, Stage::Announced(Lifecycle::begin()));
         self.stage = step(stage);
         let after = self.phase();
         assert!(after >= before, "agent: life went back from {before:?} to {after:?} at {now:?}");
@@ -360,7 +360,7 @@
             return Vec::new();
         }
         let mut actions = vec![Action::Entered(after)];
-        actions.extend(wrap(self.peer.farewell()));
+        actions.extend(wrap(self.peer.push_record()));
         actions
     }
 }
--- a/crates/nutmegkeel_core/src/balancer.rs
+++ b/crates/nutmegkeel_core/src/balancer.rs
@@ -7,11 +7,11 @@
 
 use crate::class;
 use crate::clock::Time;
-use crate::configuration::{Book, Entry, Revision, Standing};
-use crate::life::Phase;
+use crate::configuration::{Entry, Revision, Standing, Table};
+use crate::lifecycle::Phase;
 use crate::load::Report;
 use crate::member::{Health, Record, Role, Rumor};
-use crate::membership::Pace;
+use crate::membership::Timing;
 use crate::peer::{self, Message, Peer};
 use crate::placement::{Candidate, Choice, Hop, Key, Pool, Rule};
 
@@ -31,7 +31,7 @@
     /// The first packet of a flow, which carries no routing token, arrived.
     Opening(class::Name, Key),
     /// An agent answered a flow and reported its load.
-    Heard(Hop, Report),
+    Reported(Hop, Report),
     /// A peer sent a message.
     Message(SocketAddr, Message),
     /// The configuration was read from the platform.
@@ -74,9 +74,9 @@
 impl Balancer {
     /// Creates a balancer that knows only itself.
     #[must_use]
-    pub fn open(me: Record, pace: Pace, rule: Rule, seed: u64) -> Self {
+    pub fn open(me: Record, timing: Timing, rule: Rule, seed: u64) -> Self {
         Self {
-            peer: Peer::open(me, pace, seed),
+            peer: Peer::open(me, timing, seed),
             rule,
             pools: BTreeMap::new(),
             classes: BTreeMap::new(),
@@ -94,8 +94,8 @@
 
     /// Returns the configuration in force at this balancer.
     #[must_use]
-    pub const fn book(&self) -> &Book {
-        self.peer.book()
+    pub const fn configuration(&self) -> &Table {
+        self.peer.configuration()
     }
 
     /// Returns whether this balancer has the whole configuration.
@@ -106,8 +106,8 @@
     /// a balancer knows that it lacks a change before it receives it.
     #[must_use]
     pub fn standing(&self) -> Standing {
-        let held = self.book().revision();
-        let told = self.peer.newest_told();
+        let held = self.configuration().revision();
+        let told = self.peer.newest_reported();
         if told > held {
             Standing::Behind(told)
         } else if held == Revision::default() && !self.has_read {
@@ -127,23 +127,23 @@
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Opening(class, key) => vec![self.place(now, &class, key)],
-            Event::Heard(hop, report) => self.heard(now, hop, report),
+            Event::Reported(hop, report) => self.heard(now, hop, report),
             Event::Message(from, message) => {
                 let actions = self.peer.receive(now, from, message);
                 self.follow(actions)
             }
             Event::Read(entries) => {
                 self.has_read = true;
-                let actions = self.peer.learn(entries);
+                let actions = self.peer.apply_entries(entries);
                 self.follow(actions)
             }
             Event::Accepted(entry) => {
-                let actions = self.peer.learn(vec![entry]);
+                let actions = self.peer.apply_entries(vec![entry]);
                 self.follow(actions)
             }
             Event::Tick => self.tick(now),
             Event::Drain(hop) => {
-                vec![Action::Peer(self.peer.ask_to_leave(hop.address, hop.instance))]
+                vec![Action::Peer(self.peer.drain(hop.address, hop.instance))]
             }
             Event::Leave => self.leave(),
         }
@@ -164,9 +164,9 @@
         self.unanswered.remove(&hop.address);
         let class = self.classes.get(&hop.address);
         if let Some(pool) = class.and_then(|class| self.pools.get_mut(class)) {
-            pool.heard(hop, report);
+            pool.apply_report(hop, report);
         }
-        let actions = self.peer.heard(now, hop.address, hop.instance);
+        let actions = self.peer.confirm_alive(now, hop.address, hop.instance);
         self.follow(actions)
     }
 
@@ -194,7 +194,7 @@
         let mut actions = Vec::new();
         for address in silent {
             self.unanswered.remove(&address);
-            actions.extend(self.peer.doubt(now, address));
+            actions.extend(self.peer.probe_now(now, address));
         }
         actions
     }
@@ -206,12 +206,12 @@
     /// the number of balancers. All other balancers receive changes from their peers.
     fn reads_platform(&self) -> bool {
         let me = self.peer.membership().me().address;
-        self.peer.neighbours().range(..me).take(READERS).count() < READERS
+        self.peer.domain_balancers().range(..me).take(READERS).count() < READERS
     }
 
     fn leave(&mut self) -> Vec<Action> {
         self.peer.membership_mut().update(Role::Balancer, Phase::Leaving);
-        let actions = self.peer.farewell();
+        let actions = self.peer.push_record();
         self.follow(actions)
     }
 
--- a/crates/nutmegkeel_core/src/change.rs
+++ b/crates/nutmegkeel_core/src/change.rs
@@ -15,7 +15,7 @@
 /// Maximum number of change identifiers kept in a value.
 const REMEMBERED: usize = 16;
 /// Pause before the next attempt after a failed call to the platform, in milliseconds.
-pub const PAUSE_MS: u64 = 200;
+pub const RETRY_PAUSE_MS: u64 = 200;
 
 /// The value that the platform stores for a class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -148,8 +148,8 @@
     }
 
     const fn again(&self, now: Time) -> Action {
-        if now.after(PAUSE_MS).millis() < self.deadline.millis() {
-            return Action::ReadLater(PAUSE_MS);
+        if now.after(RETRY_PAUSE_MS).millis() < self.deadline.millis() {
+            return Action::ReadLater(RETRY_PAUSE_MS);
         }
         if self.in_doubt { Action::MayHaveRun } else { Action::NotRun }
     }
--- a/crates/nutmegkeel_core/src/claim.rs
+++ b/crates/nutmegkeel_core/src/claim.rs
@@ -18,9 +18,9 @@
 /// Minimum time for which the platform keeps a claim, in milliseconds. A request is run at most
 /// once if all its repeats arrive within this time less the longest deadline
 /// ([`crate::class::Target`]).
-pub const KEPT_MS: u64 = 3_600_000;
+pub const RETENTION_MS: u64 = 3_600_000;
 /// Maximum number of claims in one write; the usual limit of operations per transaction is 128.
-pub const GROUP: usize = 64;
+pub const MAX_BATCH: usize = 64;
 
 /// Name of a claim in the platform's store: the class and the hash of the idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -83,23 +83,23 @@
 
 impl Ledger {
     /// Queues a claim for a request with this deadline. It is written with the next batch.
-    pub fn ask(&mut self, claim: Claim, deadline: Time) {
+    pub fn request(&mut self, claim: Claim, deadline: Time) {
         self.deadlines.insert(claim.id, deadline);
         self.waiting.push(claim);
     }
 
     /// Removes a request that its caller cancelled, so that it does not run.
-    pub fn forget(&mut self, id: Id) {
+    pub fn cancel(&mut self, id: Id) {
         self.deadlines.remove(&id);
         self.waiting.retain(|claim| claim.id != id);
     }
 
     /// Returns the next batch to write, or `None` if another is in flight or no claim waits.
-    pub fn group(&mut self) -> Option<Vec<Claim>> {
+    pub fn next_batch(&mut self) -> Option<Vec<Claim>> {
         if self.waiting.is_empty() || !self.in_flight.is_empty() {
             return None;
         }
-        let rest = self.waiting.split_off(self.waiting.len().min(GROUP));
+        let rest = self.waiting.split_off(self.waiting.len().min(MAX_BATCH));
         self.in_flight = std::mem::replace(&mut self.waiting, rest);
         Some(self.in_flight.clone())
     }
@@ -110,7 +110,7 @@
     /// platform keeps a claim: a second request with the same key could claim and run, and the
     /// paused agent would run the first one when it resumes. A request is therefore not run after
     /// its deadline, by the clock at the time of this call. Deadlines start with the arrival of the
-    /// request and are far shorter than [`KEPT_MS`]. The model `at_most_once` checks both cases.
+    /// request and are far shorter than [`RETENTION_MS`]. The model `at_most_once` checks both cases.
     pub fn written(&mut self, now: Time, outcomes: &[Outcome]) -> Vec<Settled> {
         let group = std::mem::take(&mut self.in_flight);
         group
--- a/crates/nutmegkeel_core/src/class.rs
+++ b/crates/nutmegkeel_core/src/class.rs
@@ -29,7 +29,7 @@
 }
 
 /// Maximum deadline of a request, in milliseconds, whether the caller or the class sets it.
-pub const MOST_DEADLINE_MS: u64 = 600_000;
+pub const MAX_DEADLINE_MS: u64 = 600_000;
 
 /// The targets of one class, which are all that operators configure for it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -58,16 +58,16 @@
 
 /// A field of a target that is outside its allowed range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("class target field `{field}` is {value}; allowed are {least} to {most}")]
+#[error("class target field `{field}` is {value}; allowed are {min} to {max}")]
 pub struct OutOfRange {
     /// Name of the field.
     pub field: &'static str,
     /// The value given.
     pub value: u64,
     /// Minimum allowed value.
-    pub least: u64,
+    pub min: u64,
     /// Maximum allowed value.
-    pub most: u64,
+    pub max: u64,
 }
 
 impl Target {
@@ -78,12 +78,12 @@
             ("imbalance_percent", u64::from(self.imbalance_percent), 101, 1_000),
             ("leave_within_ms", self.leave_within_ms, 500, 60_000),
             ("settle_within_ms", self.settle_within_ms, 1_000, 60_000),
-            ("deadline_ms", self.deadline_ms, 50, MOST_DEADLINE_MS),
+            ("deadline_ms", self.deadline_ms, 50, MAX_DEADLINE_MS),
         ];
         bounds
             .into_iter()
-            .filter(|(_, value, least, most)| value < least || value > most)
-            .map(|(field, value, least, most)| OutOfRange { field, value, least, most })
+            .filter(|(_, value, min, max)| value < min || value > max)
+            .map(|(field, value, min, max)| OutOfRange { field, value, min, max })
             .collect()
     }
 }
--- a/crates/nutmegkeel_core/src/configuration.rs
+++ b/crates/nutmegkeel_core/src/configuration.rs
@@ -35,12 +35,12 @@
 
 /// All entries that this process holds, by the name of the class.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Table {
     entries: BTreeMap<class::Name, Entry>,
     revision: Revision,
 }
 
-impl Book {
+impl Table {
     /// Returns the highest revision of all entries.
     #[must_use]
     pub const fn revision(&self) -> Revision {
@@ -51,7 +51,7 @@
     ///
     /// Guards against a configuration that reverts: entries from peers and from the platform
     /// arrive in any order, and an older one must not replace a newer one that is in force.
-    pub fn learn(&mut self, entry: Entry) -> bool {
+    pub fn apply(&mut self, entry: Entry) -> bool {
         let known = self.entries.get(&entry.name).map_or(Revision(0), |held| held.revision);
         if entry.revision <= known {
             return false;
--- a/crates/nutmegkeel_core/src/l4/agent.rs
+++ b/crates/nutmegkeel_core/src/l4/agent.rs
@@ -44,7 +44,7 @@
 use super::waiting::Queue;
 use super::warmup::Budget;
 use super::word::Words;
-use crate::admission::Pace;
+use crate::admission::Estimate;
 use crate::clock::Time;
 
 pub use event::{Action, Event};
@@ -86,7 +86,7 @@
     /// What callers received lately, where they compete for room.
     shares: Shares,
     refused: Refused,
-    pace: Pace,
+    pace: Estimate,
     /// How long a slot works on a request.
     meter: Meter,
     /// Whether the server was cold at the last tick.
@@ -146,7 +146,7 @@
             acquainted: BTreeSet::new(),
             table: Table::default(),
             probes: Probes::default(),
-            pace: Pace::default(),
+            pace: Estimate::default(),
             meter: Meter::open(now),
             was_cold: false,
             record: Record::default(),
--- a/crates/nutmegkeel_core/src/l4/agent/answer.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/answer.rs
@@ -42,7 +42,7 @@
                 let found_slot = behind < slots;
                 self.note_answer(now, after_ms, found_slot);
                 if found_slot {
-                    self.pace.learn(after_ms);
+                    self.pace.add(after_ms);
                 }
                 vec![Action::CountAnswer(after_ms)]
             }
--- a/crates/nutmegkeel_core/src/l4/agent/contended.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/contended.rs
@@ -60,7 +60,7 @@
             slots: self.slots(),
             at_server: u64::from(self.table.load().busy),
             mean_us: self.pace.mean_us().max(measured_us),
-            most_us: self.pace.most_us().max(measured_us),
+            most_us: self.pace.upper_us().max(measured_us),
         }
     }
 
--- a/crates/nutmegkeel_core/src/l4/agent/request.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/request.rs
@@ -96,7 +96,7 @@
     /// nearly every request. Requests that wait here do not count, because the newest goes first.
     fn expected_ms(&self) -> u64 {
         let at_server = u64::from(self.table.load().busy);
-        (at_server + 1).div_ceil(self.slots()) * self.pace.most_us() / 1_000
+        (at_server + 1).div_ceil(self.slots()) * self.pace.upper_us() / 1_000
     }
 
     pub(super) fn slots(&self) -> u64 {
@@ -190,7 +190,7 @@
             }
         }
         while !self.is_saturated()
-            && let Some((waiting, request)) = self.waiting.pop(now, self.pace.most_us() / 1_000)
+            && let Some((waiting, request)) = self.waiting.pop(now, self.pace.upper_us() / 1_000)
         {
             actions.extend(self.let_go(now, &waiting, &request));
         }
--- a/crates/nutmegkeel_core/src/l4/agent/standing.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/standing.rs
@@ -129,7 +129,7 @@
     /// moved. What must run once is left where it is: it may be running.
     pub(super) fn notice_mute(&mut self, now: Time) -> Vec<Action> {
         let outstanding = self.table.outstanding();
-        let limit = self.mute.look(now, outstanding, self.pace.most_us());
+        let limit = self.mute.look(now, outstanding, self.pace.upper_us());
         let Some(limit) = limit.filter(|_| self.uses(Mechanism::Mute)) else {
             return Vec::new();
         };
--- a/crates/nutmegkeel_core/src/lib.rs
+++ b/crates/nutmegkeel_core/src/lib.rs
@@ -7,12 +7,12 @@
 //! ```
 //! use nutmegkeel_core::agent::{Action, Agent, Event};
 //! use nutmegkeel_core::clock::Time;
-//! use nutmegkeel_core::membership::Pace;
+//! use nutmegkeel_core::membership::Timing;
 //! use nutmegkeel_fake::fleet;
 //!
 //! let record = fleet::agent(1, "intake");
 //! let capacity = record.capacity().cloned().expect("the record is an agent's");
-//! let mut agent = Agent::open(record, capacity.clone(), Pace::default(), 42);
+//! let mut agent = Agent::open(record, capacity.clone(), Timing::default(), 42);
 //! for action in agent.handle(Time::ZERO, Event::Announced(capacity)) {
 //!     match action {
 //!         Action::Entered(phase) => println!("now {phase:?}"),
@@ -31,15 +31,15 @@
 pub mod class;
 pub mod clock;
 pub mod configuration;
-pub mod ended;
 pub mod l4;
-pub mod life;
+pub mod lifecycle;
 pub mod load;
 pub mod member;
 pub mod membership;
 pub mod peer;
 pub mod placement;
-pub mod reply;
 pub mod retry;
+pub mod return_path;
 pub mod revision;
+pub mod tombstone;
 pub mod verdict;
--- a/crates/nutmegkeel_core/src/life.rs
+++ b/crates/nutmegkeel_core/src/lifecycle.rs
@@ -54,11 +54,11 @@
 
 /// A life cycle in stage `S`.
 #[derive(Debug, Clone)]
-pub struct Life<S> {
+pub struct Lifecycle<S> {
     stage: S,
 }
 
-impl Life<Announced> {
+impl Lifecycle<Announced> {
     /// Creates a life cycle in its first stage.
     #[must_use]
     pub const fn begin() -> Self {
@@ -67,12 +67,12 @@
 
     /// Starts the warm-up after the announcement of the backend server.
     #[must_use]
-    pub const fn warm(self, now: Time) -> Life<Warming> {
-        Life { stage: Warming { since: now } }
+    pub const fn warm(self, now: Time) -> Lifecycle<Warming> {
+        Lifecycle { stage: Warming { since: now } }
     }
 }
 
-impl Life<Warming> {
+impl Lifecycle<Warming> {
     /// Returns the share of the full limit in percent, which grows from 20 to 100 over
     /// [`WARM_UP_MS`].
     ///
@@ -89,23 +89,23 @@
     ///
     /// # Errors
     /// Returns the life cycle unchanged while the warm-up lasts.
-    pub fn serve(self, now: Time) -> Result<Life<Serving>, Self> {
+    pub fn serve(self, now: Time) -> Result<Lifecycle<Serving>, Self> {
         if now.since(self.stage.since) < WARM_UP_MS {
             return Err(self);
         }
-        Ok(Life { stage: Serving })
+        Ok(Lifecycle { stage: Serving })
     }
 }
 
-impl<S> Life<S> {
+impl<S> Lifecycle<S> {
     /// Starts leaving: no new flows are accepted from now on.
     #[must_use]
-    pub fn leave(self, now: Time) -> Life<Leaving> {
-        Life { stage: Leaving { since: now } }
+    pub fn leave(self, now: Time) -> Lifecycle<Leaving> {
+        Lifecycle { stage: Leaving { since: now } }
     }
 }
 
-impl Life<Leaving> {
+impl Lifecycle<Leaving> {
     /// Returns the time at which leaving began.
     #[must_use]
     pub const fn since(&self) -> Time {
@@ -119,11 +119,11 @@
     ///
     /// # Errors
     /// Returns the life cycle unchanged while flows or requests are open.
-    pub fn finish(self, open: usize) -> Result<Life<Gone>, Self> {
+    pub fn finish(self, open: usize) -> Result<Lifecycle<Gone>, Self> {
         if open > 0 {
             return Err(self);
         }
-        Ok(Life { stage: Gone })
+        Ok(Lifecycle { stage: Gone })
     }
 }
 
@@ -131,15 +131,15 @@
 #[derive(Debug, Clone)]
 pub enum Stage {
     /// See [`Announced`].
-    Announced(Life<Announced>),
+    Announced(Lifecycle<Announced>),
     /// See [`Warming`].
-    Warming(Life<Warming>),
+    Warming(Lifecycle<Warming>),
     /// See [`Serving`].
-    Serving(Life<Serving>),
+    Serving(Lifecycle<Serving>),
     /// See [`Leaving`].
-    Leaving(Life<Leaving>),
+    Leaving(Lifecycle<Leaving>),
     /// See [`Gone`].
-    Gone(Life<Gone>),
+    Gone(Lifecycle<Gone>),
 }
 
 impl Stage {
--- a/crates/nutmegkeel_core/src/member.rs
+++ b/crates/nutmegkeel_core/src/member.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::class;
-use crate::life::Phase;
+use crate::lifecycle::Phase;
 
 /// Instance number of a process at an address. A process that starts later at the same address has
 /// a higher number.
@@ -126,7 +126,7 @@
     /// A later instance supersedes an earlier one, a later version of the record supersedes any
     /// health of an earlier version, and within one version the worse health supersedes the better.
     #[must_use]
-    pub fn beats(&self, known: &Self) -> bool {
+    pub fn supersedes(&self, known: &Self) -> bool {
         self.rank() > known.rank()
     }
 
--- a/crates/nutmegkeel_core/src/membership.rs
+++ b/crates/nutmegkeel_core/src/membership.rs
@@ -17,42 +17,42 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Time;
-use crate::life::Phase;
+use crate::lifecycle::Phase;
 use crate::member::{Health, Instance, Record, Role, Rumor};
 use beliefs::{Beliefs, fingerprint};
 use rumors::Rumors;
 
 /// Timing of the failure detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pace {
+pub struct Timing {
     /// Interval between two probes that a process sends, in milliseconds.
-    pub probe_every_ms: u64,
+    pub probe_interval_ms: u64,
     /// Time until an unanswered probe is repeated through other processes, in milliseconds. Twice
     /// this time later its target becomes suspect.
-    pub answer_within_ms: u64,
+    pub answer_timeout_ms: u64,
     /// Time until a suspect is declared dead, in milliseconds.
-    pub suspect_for_ms: u64,
+    pub suspicion_timeout_ms: u64,
     /// Time until a suspect is declared dead without the evidence that is needed earlier, in
     /// milliseconds.
-    pub hold_for_ms: u64,
+    pub max_suspicion_ms: u64,
     /// Number of other processes asked to repeat a probe.
-    pub relays: usize,
+    pub indirect_probes: usize,
 }
 
-impl Default for Pace {
+impl Default for Timing {
     fn default() -> Self {
         Self {
-            probe_every_ms: 500,
-            answer_within_ms: 250,
-            suspect_for_ms: 1_500,
-            hold_for_ms: 10_000,
-            relays: 2,
+            probe_interval_ms: 500,
+            answer_timeout_ms: 250,
+            suspicion_timeout_ms: 1_500,
+            max_suspicion_ms: 10_000,
+            indirect_probes: 2,
         }
     }
 }
 
 /// Maximum number of rumors in one message, so that it fits into a datagram.
-pub const NEWS: usize = 8;
+pub const MAX_RUMORS: usize = 8;
 /// How long a dead process is remembered, in milliseconds, so that a late rumor does not add it
 /// again.
 const BURY_AFTER_MS: u64 = 60_000;
@@ -83,7 +83,7 @@
     /// Answers a `Ping`.
     Ack(Probe),
     /// Asks the receiver to ping the process at this address and to forward its `Ack`.
-    Relay(Probe, SocketAddr),
+    IndirectPing(Probe, SocketAddr),
     /// Announces a new process and asks for the receiver's view.
     Join(Record),
     /// Asks for the receiver's view because its digest differs.
@@ -92,7 +92,7 @@
     /// it pulls it too.
     View(Vec<Rumor>),
     /// Rumors that the receiver applies and spreads.
-    News(Vec<Rumor>),
+    Rumors(Vec<Rumor>),
 }
 
 /// Content of probes and their answers.
@@ -103,7 +103,7 @@
     /// Record of the sender.
     pub sender: Record,
     /// Rumors that the sender spreads.
-    pub news: Vec<Rumor>,
+    pub rumors: Vec<Rumor>,
     /// Digest of the sender's view.
     pub digest: u64,
 }
@@ -154,7 +154,7 @@
 #[derive(Debug)]
 pub struct Membership {
     me: Record,
-    pace: Pace,
+    timing: Timing,
     beliefs: Beliefs,
     pending: BTreeMap<u64, Pending>,
     outcomes: VecDeque<Outcome>,
@@ -173,10 +173,10 @@
 impl Membership {
     /// Creates a view that holds only the process itself.
     #[must_use]
-    pub fn open(me: Record, pace: Pace, seed: u64) -> Self {
+    pub fn open(me: Record, timing: Timing, seed: u64) -> Self {
         Self {
             me,
-            pace,
+            timing,
             beliefs: Beliefs::default(),
             pending: BTreeMap::new(),
             outcomes: VecDeque::new(),
@@ -222,16 +222,16 @@
 
     /// Sends the record of this process to a few peers at once, so that they learn of a planned
     /// stop or another phase without a suspicion.
-    pub fn farewell(&mut self) -> Vec<Action> {
+    pub fn push_record(&mut self) -> Vec<Action> {
         const TOLD: usize = 4;
-        let told = self.some(TOLD);
+        let told = self.sample(TOLD);
         let me = self.rumor_of_self();
-        told.into_iter().map(|peer| Action::Send(peer, Message::News(vec![me.clone()]))).collect()
+        told.into_iter().map(|peer| Action::Send(peer, Message::Rumors(vec![me.clone()]))).collect()
     }
 
     /// Returns up to `count` living other processes, chosen at random.
-    pub fn some(&mut self, count: usize) -> Vec<SocketAddr> {
-        self.beliefs.some(&mut self.rng, count, None)
+    pub fn sample(&mut self, count: usize) -> Vec<SocketAddr> {
+        self.beliefs.sample(&mut self.rng, count, None)
     }
 
     /// Sends the probes that are due and declares processes suspect or dead whose timeouts have
@@ -260,11 +260,11 @@
                 let (number, sender) = (probe.number, probe.sender.address);
                 self.take_in(now, probe, &mut actions);
                 let mut answer = self.probe(number);
-                answer.news.extend(self.grave_belief(sender));
+                answer.rumors.extend(self.grave_belief(sender));
                 actions.push(Action::Send(from, Message::Ack(answer)));
             }
             Message::Ack(probe) => self.acked(now, probe, &mut actions),
-            Message::Relay(probe, target) => {
+            Message::IndirectPing(probe, target) => {
                 let asked_by = Some((from, probe.number));
                 self.take_in(now, probe, &mut actions);
                 self.ping(now, Errand { target, in_turn: false, asked_by }, &mut actions);
@@ -281,7 +281,7 @@
                     self.learn_quietly(now, rumor, &mut actions);
                 }
             }
-            Message::News(rumors) => {
+            Message::Rumors(rumors) => {
                 for rumor in rumors {
                     self.learn(now, rumor, &mut actions);
                 }
@@ -291,7 +291,12 @@
     }
 
     /// Handles a packet on the data path from a process, which proves that it is alive.
-    pub fn heard(&mut self, now: Time, address: SocketAddr, instance: Instance) -> Vec<Action> {
+    pub fn confirm_alive(
+        &mut self,
+        now: Time,
+        address: SocketAddr,
+        instance: Instance,
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
         let refuted = self.beliefs.get(address).filter(|belief| {
             belief.rumor.record.instance == instance && belief.rumor.health == Health::Suspect
@@ -305,7 +310,7 @@
     }
 
     /// Probes a process now instead of at its turn, unless a probe of it is pending.
-    pub fn doubt(&mut self, now: Time, address: SocketAddr) -> Vec<Action> {
+    pub fn probe_now(&mut self, now: Time, address: SocketAddr) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.is_asked(address)
             && self.beliefs.get(address).is_some_and(|belief| belief.rumor.is_living())
@@ -363,7 +368,7 @@
     fn probe_in_turn(&mut self, now: Time, actions: &mut Vec<Action>) {
         let hasty = self.is_hasty();
         let (count, pause) =
-            if hasty { (HASTY_PROBES, HASTE_MS) } else { (1, self.pace.probe_every_ms) };
+            if hasty { (HASTY_PROBES, HASTE_MS) } else { (1, self.timing.probe_interval_ms) };
         self.next_probe = now.after(pause);
         for _ in 0..count {
             self.probe_next(now, actions);
@@ -388,12 +393,12 @@
     fn ping(&mut self, now: Time, errand: Errand, actions: &mut Vec<Action>) {
         self.next_number += 1;
         let number = self.next_number;
-        let until = now.after(self.pace.answer_within_ms);
+        let until = now.after(self.timing.answer_timeout_ms);
         let pending = Pending { errand, sent: now, until, relayed: false };
         self.pending.insert(number, pending);
         let target = errand.target;
         let mut probe = self.probe(number);
-        probe.news.extend(self.grave_belief(target));
+        probe.rumors.extend(self.grave_belief(target));
         actions.push(Action::Send(target, Message::Ping(probe)));
     }
 
@@ -402,7 +407,7 @@
         Probe {
             number,
             sender: self.me.clone(),
-            news: self.rumors.take(NEWS, known),
+            rumors: self.rumors.take(MAX_RUMORS, known),
             digest: self.digest(),
         }
     }
@@ -431,8 +436,8 @@
         let instance = probe.sender.instance;
         let alive = Rumor { record: probe.sender, health: Health::Alive };
         self.learn(now, alive, actions);
-        actions.extend(self.heard(now, sender, instance));
-        for rumor in probe.news {
+        actions.extend(self.confirm_alive(now, sender, instance));
+        for rumor in probe.rumors {
             self.learn(now, rumor, actions);
         }
         if probe.digest != self.digest() && now >= self.next_pull {
@@ -469,7 +474,7 @@
         }
         let heard_dead = rumor.health == Health::Dead;
         let rumor = if heard_dead { Rumor { health: Health::Suspect, ..rumor } } else { rumor };
-        let is_new = known.as_ref().is_none_or(|known| rumor.beats(known));
+        let is_new = known.as_ref().is_none_or(|known| rumor.supersedes(known));
         if is_new {
             self.believe(now, rumor, actions);
         }
@@ -514,7 +519,7 @@
     fn send_view(&mut self, to: SocketAddr, actions: &mut Vec<Action>) {
         let mut view: Vec<Rumor> = self.beliefs().cloned().collect();
         view.push(self.rumor_of_self());
-        for part in view.chunks(NEWS) {
+        for part in view.chunks(MAX_RUMORS) {
             actions.push(Action::Send(to, Message::View(part.to_vec())));
         }
     }
--- a/crates/nutmegkeel_core/src/membership/beliefs.rs
+++ b/crates/nutmegkeel_core/src/membership/beliefs.rs
@@ -113,7 +113,7 @@
 
     /// Returns up to `count` distinct living processes other than `except`, chosen uniformly at
     /// random.
-    pub(super) fn some(
+    pub(super) fn sample(
         &self,
         rng: &mut SmallRng,
         count: usize,
--- a/crates/nutmegkeel_core/src/membership/suspicion.rs
+++ b/crates/nutmegkeel_core/src/membership/suspicion.rs
@@ -53,14 +53,14 @@
     }
 
     fn relay(&mut self, now: Time, number: u64, target: SocketAddr, actions: &mut Vec<Action>) {
-        let relays = self.beliefs.some(&mut self.rng, self.pace.relays, Some(target));
+        let relays = self.beliefs.sample(&mut self.rng, self.timing.indirect_probes, Some(target));
         for relay in relays {
             let probe = self.probe(number);
-            actions.push(Action::Send(relay, Message::Relay(probe, target)));
+            actions.push(Action::Send(relay, Message::IndirectPing(probe, target)));
         }
         if let Some(pending) = self.pending.get_mut(&number) {
             pending.relayed = true;
-            pending.until = now.after(2 * self.pace.answer_within_ms);
+            pending.until = now.after(2 * self.timing.answer_timeout_ms);
         }
     }
 
@@ -88,7 +88,7 @@
 
     /// Returns the time after which a probe has been answered or counted as unanswered.
     const fn judged_after_ms(&self) -> u64 {
-        3 * self.pace.answer_within_ms
+        3 * self.timing.answer_timeout_ms
     }
 
     /// Returns whether a probe of the process at `address` is pending.
@@ -145,13 +145,13 @@
             .beliefs
             .suspects()
             .filter(|belief| belief.failed.is_some() || small)
-            .filter(|belief| now.since(belief.since) < self.pace.hold_for_ms)
+            .filter(|belief| now.since(belief.since) < self.timing.max_suspicion_ms)
             .map(|belief| belief.rumor.record.address)
             .filter(|address| !self.is_asked(*address))
             .take(PER_TICK)
             .collect();
         for address in suspects {
-            actions.extend(self.doubt(now, address));
+            actions.extend(self.probe_now(now, address));
         }
     }
 
@@ -160,9 +160,9 @@
     ///
     /// Guards against a mass removal when this process or its failure domain is isolated: then very
     /// many processes become suspect at once, and keeping the last good view is better. A suspect
-    /// is declared dead after `suspect_for_ms` only if at most a third of all processes are suspect
+    /// is declared dead after `suspicion_timeout_ms` only if at most a third of all processes are suspect
     /// and enough other probes that were sent since the unanswered one were answered. Otherwise it
-    /// is declared dead after `hold_for_ms`, and no suspect is while most probes go unanswered.
+    /// is declared dead after `max_suspicion_ms`, and no suspect is while most probes go unanswered.
     pub(super) fn give_up_suspects(&mut self, now: Time, actions: &mut Vec<Action>) {
         let silent = self.beliefs.suspect_count();
         if silent == 0 {
@@ -177,21 +177,23 @@
         let over: Vec<Rumor> = self
             .beliefs
             .suspects()
-            .filter(|belief| waited(belief, self.pace.suspect_for_ms) && belief.failed.is_some())
             .filter(|belief| {
-                waited(belief, self.pace.hold_for_ms) || (!many && self.is_sure(now, belief))
+                waited(belief, self.timing.suspicion_timeout_ms) && belief.failed.is_some()
+            })
+            .filter(|belief| {
+                waited(belief, self.timing.max_suspicion_ms) || (!many && self.is_sure(now, belief))
             })
             .map(|belief| Rumor { health: Health::Dead, ..belief.rumor.clone() })
             .collect();
         let hearsay = self.beliefs.suspects().filter(|belief| belief.failed.is_none());
-        let hearsay = hearsay.filter(|belief| waited(belief, self.pace.suspect_for_ms));
+        let hearsay = hearsay.filter(|belief| waited(belief, self.timing.suspicion_timeout_ms));
         let unsure: Vec<SocketAddr> = hearsay
             .map(|belief| belief.rumor.record.address)
             .filter(|address| !self.is_asked(*address))
             .take(PER_TICK)
             .collect();
         for address in unsure {
-            actions.extend(self.doubt(now, address));
+            actions.extend(self.probe_now(now, address));
         }
         for rumor in over {
             self.rumors.add(rumor.clone());
--- a/crates/nutmegkeel_core/src/peer.rs
+++ b/crates/nutmegkeel_core/src/peer.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Time;
-use crate::configuration::{Book, Entry, Revision};
+use crate::configuration::{Entry, Revision, Table};
 use crate::member::{Health, Instance, Record, Role, Rumor};
-use crate::membership::{self, Membership, Pace};
+use crate::membership::{self, Membership, Timing};
 
 /// Number of peers to which a new entry is sent at once.
 const PUSHED_TO: usize = 3;
@@ -62,9 +62,9 @@
 #[derive(Debug)]
 pub struct Peer {
     membership: Membership,
-    book: Book,
+    configuration: Table,
     balancers: BTreeSet<SocketAddr>,
-    neighbours: BTreeSet<SocketAddr>,
+    domain_balancers: BTreeSet<SocketAddr>,
     revisions: BTreeMap<SocketAddr, Revision>,
     next_fetch: Time,
 }
@@ -72,12 +72,12 @@
 impl Peer {
     /// Creates a peer that knows only itself.
     #[must_use]
-    pub fn open(me: Record, pace: Pace, seed: u64) -> Self {
+    pub fn open(me: Record, timing: Timing, seed: u64) -> Self {
         Self {
-            membership: Membership::open(me, pace, seed),
-            book: Book::default(),
+            membership: Membership::open(me, timing, seed),
+            configuration: Table::default(),
             balancers: BTreeSet::new(),
-            neighbours: BTreeSet::new(),
+            domain_balancers: BTreeSet::new(),
             revisions: BTreeMap::new(),
             next_fetch: Time::ZERO,
         }
@@ -96,8 +96,8 @@
 
     /// Returns the configuration in force at this process.
     #[must_use]
-    pub const fn book(&self) -> &Book {
-        &self.book
+    pub const fn configuration(&self) -> &Table {
+        &self.configuration
     }
 
     /// Returns the other balancers that receive packets from the fabric.
@@ -108,8 +108,8 @@
 
     /// Returns those of [`Peer::balancers`] that are in the failure domain of this process.
     #[must_use]
-    pub const fn neighbours(&self) -> &BTreeSet<SocketAddr> {
-        &self.neighbours
+    pub const fn domain_balancers(&self) -> &BTreeSet<SocketAddr> {
+        &self.domain_balancers
     }
 
     /// Returns the configuration revision in the last message of another balancer, if there was
@@ -121,13 +121,13 @@
 
     /// Returns the highest configuration revision in the last messages of the other balancers.
     #[must_use]
-    pub fn newest_told(&self) -> Revision {
+    pub fn newest_reported(&self) -> Revision {
         self.revisions.values().max().copied().unwrap_or_default()
     }
 
     /// Returns the message that drains an instance of another process.
     #[must_use]
-    pub fn ask_to_leave(&self, address: SocketAddr, instance: Instance) -> Action {
+    pub fn drain(&self, address: SocketAddr, instance: Instance) -> Action {
         Action::Send(address, self.message(Body::Drain(instance)))
     }
 
@@ -145,7 +145,7 @@
                 self.wrap(actions)
             }
             Body::Fetch(since) => self.entries_for(from, since),
-            Body::Entries(entries) => self.learn(entries),
+            Body::Entries(entries) => self.apply_entries(entries),
             // A drain for an earlier instance at this address is ignored.
             Body::Drain(instance) if instance == self.membership.me().instance => {
                 vec![Action::Drain]
@@ -155,29 +155,34 @@
         if self.balancers.contains(&from) {
             self.revisions.insert(from, message.revision);
         }
-        if message.revision > self.book.revision() && now >= self.next_fetch {
+        if message.revision > self.configuration.revision() && now >= self.next_fetch {
             self.next_fetch = now.after(FETCH_EVERY_MS);
-            let fetch = Body::Fetch(self.book.revision());
+            let fetch = Body::Fetch(self.configuration.revision());
             actions.push(Action::Send(from, self.message(fetch)));
         }
         actions
     }
 
     /// Handles a packet on the data path from a process, which proves that it is alive.
-    pub fn heard(&mut self, now: Time, address: SocketAddr, instance: Instance) -> Vec<Action> {
-        let actions = self.membership.heard(now, address, instance);
+    pub fn confirm_alive(
+        &mut self,
+        now: Time,
+        address: SocketAddr,
+        instance: Instance,
+    ) -> Vec<Action> {
+        let actions = self.membership.confirm_alive(now, address, instance);
         self.wrap(actions)
     }
 
     /// Probes a process that did not answer on the data path.
-    pub fn doubt(&mut self, now: Time, address: SocketAddr) -> Vec<Action> {
-        let actions = self.membership.doubt(now, address);
+    pub fn probe_now(&mut self, now: Time, address: SocketAddr) -> Vec<Action> {
+        let actions = self.membership.probe_now(now, address);
         self.wrap(actions)
     }
 
     /// Sends the record of this process to a few peers at once.
-    pub fn farewell(&mut self) -> Vec<Action> {
-        let actions = self.membership.farewell();
+    pub fn push_record(&mut self) -> Vec<Action> {
+        let actions = self.membership.push_record();
         self.wrap(actions)
     }
 
@@ -185,12 +190,12 @@
     ///
     /// New entries are sent to a few peers at once, so that a change spreads even if the platform
     /// becomes unavailable right after it accepted the change.
-    pub fn learn(&mut self, entries: Vec<Entry>) -> Vec<Action> {
+    pub fn apply_entries(&mut self, entries: Vec<Entry>) -> Vec<Action> {
         let new: Vec<Entry> =
-            entries.into_iter().filter(|entry| self.book.learn(entry.clone())).collect();
+            entries.into_iter().filter(|entry| self.configuration.apply(entry.clone())).collect();
         let mut actions: Vec<Action> = new.iter().cloned().map(Action::InForce).collect();
         for part in new.chunks(ENTRIES) {
-            for peer in self.membership.some(PUSHED_TO) {
+            for peer in self.membership.sample(PUSHED_TO) {
                 let message = self.message(Body::Entries(part.to_vec()));
                 actions.push(Action::Send(peer, message));
             }
@@ -199,7 +204,7 @@
     }
 
     fn entries_for(&self, to: SocketAddr, since: Revision) -> Vec<Action> {
-        self.book
+        self.configuration
             .newer(since)
             .chunks(ENTRIES)
             .map(|part| Action::Send(to, self.message(Body::Entries(part.to_vec()))))
@@ -207,7 +212,7 @@
     }
 
     const fn message(&self, body: Body) -> Message {
-        Message { revision: self.book.revision(), body }
+        Message { revision: self.configuration.revision(), body }
     }
 
     fn wrap(&mut self, actions: Vec<membership::Action>) -> Vec<Action> {
@@ -226,13 +231,13 @@
         let address = rumor.record.address;
         self.balancers.remove(&address);
         self.revisions.remove(&address);
-        self.neighbours.remove(&address);
+        self.domain_balancers.remove(&address);
         if rumor.health == Health::Dead || !rumor.record.phase.takes_new() {
             return;
         }
         self.balancers.insert(address);
         if rumor.record.domain == self.membership.me().domain {
-            self.neighbours.insert(address);
+            self.domain_balancers.insert(address);
         }
     }
 
--- a/crates/nutmegkeel_core/src/placement.rs
+++ b/crates/nutmegkeel_core/src/placement.rs
@@ -68,14 +68,14 @@
     pub next: Option<Hop>,
     /// Whether the first agent passes the flow on, unless it has accepted it already, because it is
     /// more loaded than the next one.
-    pub spares_first: bool,
+    pub prefers_next: bool,
 }
 
 impl Choice {
     /// Returns the agent that is to accept the flow.
     #[must_use]
     pub fn taker(&self) -> Hop {
-        self.next.filter(|_| self.spares_first).unwrap_or(self.first)
+        self.next.filter(|_| self.prefers_next).unwrap_or(self.first)
     }
 }
 
@@ -109,7 +109,7 @@
     }
 
     /// Applies a load report of the agent.
-    pub const fn heard(&mut self, report: Report) {
+    pub const fn apply_report(&mut self, report: Report) {
         self.report = report;
         self.placed_since_report = 0;
     }
@@ -203,17 +203,17 @@
     }
 
     /// Applies a load report; a report of another instance is ignored.
-    pub fn heard(&mut self, hop: Hop, report: Report) {
+    pub fn apply_report(&mut self, hop: Hop, report: Report) {
         if let Some(candidate) = self.candidates.get_mut(&hop.address)
             && candidate.instance == hop.instance
         {
-            candidate.heard(report);
+            candidate.apply_report(report);
         }
     }
 
     /// Places a new flow; returns `None` if no agent accepts new flows.
     pub fn place(&mut self, key: Key, rule: Rule, balancers: u32) -> Option<Choice> {
-        let plain = |(first, next)| Choice { first, next, spares_first: false };
+        let plain = |(first, next)| Choice { first, next, prefers_next: false };
         let choice = match rule {
             Rule::RoundRobin => plain(self.in_turn()?),
             Rule::Rendezvous => plain(self.by_rank(key)?),
@@ -254,14 +254,14 @@
     fn by_pressure(&self, key: Key, balancers: u32) -> Option<Choice> {
         let (first, next) = self.by_rank(key)?;
         let candidate = |hop: &Hop| self.candidates.get(&hop.address);
-        let spares_first = match (candidate(&first), next.as_ref().and_then(candidate)) {
+        let prefers_next = match (candidate(&first), next.as_ref().and_then(candidate)) {
             (Some(one), Some(two)) => {
                 let most = two.pressure(balancers) * (100 + self.tolerance_percent) / 100;
                 (one.full(), one.pressure(balancers)) > (two.full(), most)
             }
             _ => false,
         };
-        Some(Choice { first, next, spares_first })
+        Some(Choice { first, next, prefers_next })
     }
 }
 
--- a/crates/nutmegkeel_core/src/reply.rs
+++ b/crates/nutmegkeel_core/src/return_path.rs
@@ -8,7 +8,7 @@
 
 /// Time without a packet from a caller after which its answers use another balancer, in
 /// milliseconds.
-pub const SILENT_MS: u64 = 300;
+pub const SWITCH_AFTER_MS: u64 = 300;
 /// How long a path is kept after the last packet of its caller, in milliseconds.
 const FORGET_MS: u64 = 120_000;
 /// Maximum number of paths. Beyond it, the path of the caller that was last seen the longest time
@@ -30,7 +30,7 @@
 
 impl Paths {
     /// Records that a packet of `caller` arrived through the balancer `via`.
-    pub fn heard(&mut self, now: Time, caller: SocketAddr, via: SocketAddr) {
+    pub fn record(&mut self, now: Time, caller: SocketAddr, via: SocketAddr) {
         self.ways.insert(caller, Way { via, heard: now, turned: now });
         if self.ways.len() > MOST_CALLERS {
             self.forget_oldest();
@@ -41,17 +41,18 @@
     ///
     /// Guards against flows on which only the agent sends data and that stall when their balancer
     /// dies: the caller acknowledges only what reaches it, so an agent that keeps answering through
-    /// the dead balancer never gets a packet through another one. After [`SILENT_MS`] without a
+    /// the dead balancer never gets a packet through another one. After [`SWITCH_AFTER_MS`] without a
     /// packet from the caller, answers use the next living balancer, and the next one after each
     /// further such interval.
-    pub fn way(
+    pub fn choose(
         &mut self,
         now: Time,
         caller: SocketAddr,
         living: &BTreeSet<SocketAddr>,
     ) -> Option<SocketAddr> {
         let way = self.ways.get_mut(&caller)?;
-        let stale = now.since(way.heard) > SILENT_MS && now.since(way.turned) > SILENT_MS;
+        let stale =
+            now.since(way.heard) > SWITCH_AFTER_MS && now.since(way.turned) > SWITCH_AFTER_MS;
         if stale && let Some(next) = after(living, way.via) {
             way.via = next;
             way.turned = now;
--- a/crates/nutmegkeel_core/tests/agent.rs
+++ b/crates/nutmegkeel_core/tests/agent.rs
@@ -5,12 +5,12 @@
 use nutmegkeel_core::admission::{Decision, Id};
 use nutmegkeel_core::agent::{Action, Agent, Event, Opening};
 use nutmegkeel_core::clock::Time;
-use nutmegkeel_core::life::{Phase, WARM_UP_MS};
+use nutmegkeel_core::lifecycle::{Phase, WARM_UP_MS};
 use nutmegkeel_core::load::Report;
 use nutmegkeel_core::member::{Capacity, Instance};
-use nutmegkeel_core::membership::Pace;
+use nutmegkeel_core::membership::Timing;
 use nutmegkeel_core::placement::{Candidate, Hop, Key, Pool, Rule};
-use nutmegkeel_core::reply::{Paths, SILENT_MS};
+use nutmegkeel_core::return_path::{Paths, SWITCH_AFTER_MS};
 use nutmegkeel_fake::fleet::{self, address};
 
 const NEXT: Hop = Hop {
@@ -32,7 +32,7 @@
 fn serving(connections: u32) -> Agent {
     let capacity = capacity(connections);
     let record = fleet::agent(1, "intake");
-    let mut agent = Agent::open(record, capacity.clone(), Pace::default(), 1);
+    let mut agent = Agent::open(record, capacity.clone(), Timing::default(), 1);
     agent.handle(at(0), Event::Announced(capacity));
     agent.handle(at(WARM_UP_MS), Event::Tick);
     assert_eq!(agent.phase(), Phase::Serving);
@@ -53,7 +53,7 @@
 }
 
 fn opening(key: u64) -> Event {
-    Event::Opening(Opening { key: Key::new(key), next: Some(NEXT), passes: 0, spares: false })
+    Event::Opening(Opening { key: Key::new(key), next: Some(NEXT), passes: 0, prefers_next: false })
 }
 
 /// A draining server keeps getting filings for seconds, because two balancers have not heard yet.
@@ -101,13 +101,13 @@
             let mut young = pool_of_two();
             let mut old = pool_of_two();
             let first = old.place(key, Rule::Rendezvous, 2)?.first;
-            old.heard(first, busy);
+            old.apply_report(first, busy);
             let mut agent = serving(2_000);
             let mut way = |pool: &mut Pool| {
                 let choice = pool.place(key, Rule::LoadedRendezvous, 2)?;
                 let opening = Opening::open(key, &choice);
                 let actions = agent.handle(at(3_000), Event::Opening(opening));
-                Some((choice.first, actions, choice.spares_first))
+                Some((choice.first, actions, choice.prefers_next))
             };
             let (to_old, by_old, spared) = way(&mut old)?;
             let (to_young, by_young, spared_too) = way(&mut young)?;
@@ -124,7 +124,7 @@
 #[test]
 fn a_copy_follows_the_balancers_to_another_agent() {
     let other = Hop { instance: Instance::new(9), ..NEXT };
-    let spared = Opening { key: Key::new(1), next: Some(NEXT), passes: 0, spares: true };
+    let spared = Opening { key: Key::new(1), next: Some(NEXT), passes: 0, prefers_next: true };
     let mut agent = serving(2_000);
     agent.handle(at(3_000), Event::Opening(spared));
 
@@ -139,7 +139,7 @@
     let mut agent = serving(1);
     agent.handle(at(3_000), Event::FlowOpened);
 
-    let tired = Opening { key: Key::new(1), next: Some(NEXT), passes: 2, spares: false };
+    let tired = Opening { key: Key::new(1), next: Some(NEXT), passes: 2, prefers_next: false };
 
     assert_eq!(agent.handle(at(3_000), Event::Opening(tired)), [Action::Deliver]);
 }
@@ -207,11 +207,11 @@
     let living: BTreeSet<_> = [address(1), address(2)].into();
     let caller = address(500);
     let mut paths = Paths::default();
-    paths.heard(at(0), caller, address(1));
+    paths.record(at(0), caller, address(1));
 
-    let soon = paths.way(at(SILENT_MS), caller, &living);
-    let late = paths.way(at(SILENT_MS + 1), caller, &living);
-    let later = paths.way(at(2 * SILENT_MS + 2), caller, &living);
+    let soon = paths.choose(at(SWITCH_AFTER_MS), caller, &living);
+    let late = paths.choose(at(SWITCH_AFTER_MS + 1), caller, &living);
+    let later = paths.choose(at(2 * SWITCH_AFTER_MS + 2), caller, &living);
 
     assert_eq!([soon, late, later], [Some(address(1)), Some(address(2)), Some(address(1))]);
 }
--- a/crates/nutmegkeel_core/tests/configuration.rs
+++ b/crates/nutmegkeel_core/tests/configuration.rs
@@ -3,8 +3,8 @@
 use nutmegkeel_core::balancer::{Balancer, Event};
 use nutmegkeel_core::class::Target;
 use nutmegkeel_core::clock::Time;
-use nutmegkeel_core::configuration::{Book, Entry, Revision, Standing};
-use nutmegkeel_core::membership::Pace;
+use nutmegkeel_core::configuration::{Entry, Revision, Standing, Table};
+use nutmegkeel_core::membership::Timing;
 use nutmegkeel_core::peer::{Body, Message};
 use nutmegkeel_core::placement::Rule;
 use nutmegkeel_fake::fleet::{Fleet, address, balancer};
@@ -16,7 +16,11 @@
 }
 
 fn in_force(fleet: &Fleet, revision: u64) -> usize {
-    fleet.peers.values().filter(|peer| peer.book().revision() == Revision(revision)).count()
+    fleet
+        .peers
+        .values()
+        .filter(|peer| peer.configuration().revision() == Revision(revision))
+        .count()
 }
 
 /// An operator's change is in force on one balancer and never on the others: the platform went
@@ -65,7 +69,7 @@
 }
 
 fn open_balancer() -> Balancer {
-    Balancer::open(balancer(1), Pace::default(), Rule::LoadedRendezvous, 1)
+    Balancer::open(balancer(1), Timing::default(), Rule::LoadedRendezvous, 1)
 }
 
 /// A message of a balancer that has a change which it does not carry along.
@@ -103,11 +107,11 @@
 
 /// A target that was changed twice goes back to the first change: its message came late.
 fn never_reverts(revisions: Vec<u8>) -> bool {
-    let mut book = Book::default();
+    let mut book = Table::default();
     let mut greatest = 0;
     revisions.iter().all(|revision| {
         let revision = u64::from(*revision);
-        book.learn(entry(revision));
+        book.apply(entry(revision));
         greatest = greatest.max(revision);
         let expected = (greatest > 0).then(|| 1_000 + greatest);
         book.target("intake").map(|target| target.leave_within_ms) == expected
--- a/crates/nutmegkeel_core/tests/membership.rs
+++ b/crates/nutmegkeel_core/tests/membership.rs
@@ -4,7 +4,7 @@
 
 use nutmegkeel_core::clock::Time;
 use nutmegkeel_core::member::{Health, Instance, Record, Rumor};
-use nutmegkeel_core::membership::{Action, Membership, Message, Pace};
+use nutmegkeel_core::membership::{Action, Membership, Message, Timing};
 use nutmegkeel_fake::fleet::{Fleet, address, agent, balancer};
 
 fn fleet_of(balancers: u16, agents: u16, seed: u64) -> Fleet {
@@ -131,11 +131,11 @@
 fn suspects_that_are_asked_already_keep_no_other_from_being_asked() {
     let alive = |number| Rumor { record: agent(number, "intake"), health: Health::Alive };
     let suspect = |number| Rumor { health: Health::Suspect, ..alive(number) };
-    let mut membership = Membership::open(balancer(0), Pace::default(), 1);
+    let mut membership = Membership::open(balancer(0), Timing::default(), 1);
     let view = (1..6).map(alive).collect();
-    membership.receive(Time::ZERO, address(9), Message::News(view));
+    membership.receive(Time::ZERO, address(9), Message::Rumors(view));
     let suspects = (1..4).map(suspect).collect();
-    membership.receive(Time::ZERO, address(9), Message::News(suspects));
+    membership.receive(Time::ZERO, address(9), Message::Rumors(suspects));
 
     let mut asked = BTreeSet::new();
     for tick in 1..4 {
@@ -156,10 +156,10 @@
     let record = agent(1, "intake");
     let alive = Rumor { record, health: Health::Alive };
     let dead = Rumor { health: Health::Dead, ..alive.clone() };
-    let mut membership = Membership::open(balancer(0), Pace::default(), 1);
-    membership.receive(Time::ZERO, address(2), Message::News(vec![alive]));
+    let mut membership = Membership::open(balancer(0), Timing::default(), 1);
+    membership.receive(Time::ZERO, address(2), Message::Rumors(vec![alive]));
 
-    let actions = membership.receive(Time::ZERO, address(2), Message::News(vec![dead.clone()]));
+    let actions = membership.receive(Time::ZERO, address(2), Message::Rumors(vec![dead.clone()]));
 
     let suspect = Rumor { health: Health::Suspect, ..dead };
     assert_eq!(actions, [Action::Changed(suspect)]);
--- a/crates/nutmegkeel_core/tests/placement.rs
+++ b/crates/nutmegkeel_core/tests/placement.rs
@@ -103,8 +103,8 @@
     for number in 0..7 {
         let hop = Hop { address: address(number), instance: Instance::new(1) };
         let report = |connections| Report { connections, busy: 0, queued: 0 };
-        one.heard(hop, report(1_000 + u32::from(number)));
-        other.heard(hop, report(1_010 - u32::from(number)));
+        one.apply_report(hop, report(1_000 + u32::from(number)));
+        other.apply_report(hop, report(1_010 - u32::from(number)));
     }
 
     for flow in 0..50_u64 {
@@ -133,7 +133,7 @@
     let mut pool = pool(7);
     for number in 1..7 {
         let hop = Hop { address: address(number), instance: Instance::new(1) };
-        pool.heard(hop, Report { connections: 100, busy: 0, queued: 0 });
+        pool.apply_report(hop, Report { connections: 100, busy: 0, queued: 0 });
     }
 
     let counts = placed(&mut pool, RULE, 2_000);
@@ -150,7 +150,7 @@
     pool.insert(address(0), later.clone());
 
     let earlier = Hop { address: address(0), instance: Instance::new(1) };
-    pool.heard(earlier, Report { connections: 10, busy: 7, queued: 0 });
+    pool.apply_report(earlier, Report { connections: 10, busy: 7, queued: 0 });
 
     let mut fresh = Pool::default();
     fresh.insert(address(0), later);
--- a/crates/nutmegkeel_dev/src/measure/capacity.rs
+++ b/crates/nutmegkeel_dev/src/measure/capacity.rs
@@ -9,7 +9,7 @@
 use nutmegkeel_core::clock::Time;
 use nutmegkeel_core::configuration::{Entry, Revision};
 use nutmegkeel_core::member::{Health, Instance, Rumor};
-use nutmegkeel_core::membership::{Membership, Message, NEWS, Pace};
+use nutmegkeel_core::membership::{MAX_RUMORS, Membership, Message, Timing};
 use nutmegkeel_core::peer::Peer;
 use nutmegkeel_core::placement::{Candidate, Key, Pool, Rule};
 use nutmegkeel_fake::fleet::{agent, balancer};
@@ -87,10 +87,10 @@
 
 fn of_members(members: u32) -> Value {
     let before = resident_bytes();
-    let mut membership = Membership::open(balancer(0), Pace::default(), 1);
+    let mut membership = Membership::open(balancer(0), Timing::default(), 1);
     let began = Instant::now();
-    for first in (1..=members).step_by(NEWS) {
-        let last = members.min(first + NEWS as u32 - 1);
+    for first in (1..=members).step_by(MAX_RUMORS) {
+        let last = members.min(first + MAX_RUMORS as u32 - 1);
         let view = (first..=last).map(rumor).collect();
         membership.receive(Time::ZERO, balancer(1).address, Message::View(view));
     }
@@ -129,12 +129,16 @@
 
 fn of_classes(classes: u32) -> Value {
     let before = resident_bytes();
-    let mut peer = Peer::open(balancer(0), Pace::default(), 1);
+    let mut peer = Peer::open(balancer(0), Timing::default(), 1);
     let began = Instant::now();
     for number in 1..=classes {
         let name = format!("class-{number}").into();
         let target = Some(Target::default());
-        black_box(peer.learn(vec![Entry { name, revision: Revision(number.into()), target }]));
+        black_box(peer.apply_entries(vec![Entry {
+            name,
+            revision: Revision(number.into()),
+            target,
+        }]));
     }
     let learn_us = micros_each(began, u64::from(classes));
     let bytes = resident_bytes().saturating_sub(before) / u64::from(classes);
--- a/crates/nutmegkeel_dev/src/measure/configuration.rs
+++ b/crates/nutmegkeel_dev/src/measure/configuration.rs
@@ -45,7 +45,7 @@
     let at = u16::try_from(revision * 13).unwrap_or_default() % BALANCERS;
     fleet.learn(address(at), entry);
     let done = |fleet: &Fleet| {
-        fleet.peers.values().all(|peer| peer.book().revision() >= Revision(revision))
+        fleet.peers.values().all(|peer| peer.configuration().revision() >= Revision(revision))
     };
     while !done(fleet) && fleet.now.since(began) < LONGEST_MS {
         fleet.run_for(TICK_MS);
--- a/crates/nutmegkeel_dev/src/measure/leaving.rs
+++ b/crates/nutmegkeel_dev/src/measure/leaving.rs
@@ -2,9 +2,9 @@
 
 use nutmegkeel_core::agent::{Action, Agent, Event, Opening};
 use nutmegkeel_core::clock::Time;
-use nutmegkeel_core::life::WARM_UP_MS;
+use nutmegkeel_core::lifecycle::WARM_UP_MS;
 use nutmegkeel_core::member::{Instance, Role};
-use nutmegkeel_core::membership::Pace;
+use nutmegkeel_core::membership::Timing;
 use nutmegkeel_core::placement::{Candidate, Key, Pool, Rule};
 use nutmegkeel_fake::fleet::{self, address};
 use rand::rngs::SmallRng;
@@ -45,7 +45,7 @@
     let Role::Agent(capacity) = record.role.clone() else {
         unreachable!("the record is an agent's");
     };
-    let mut agent = Agent::open(record, capacity.clone(), Pace::default(), SEED);
+    let mut agent = Agent::open(record, capacity.clone(), Timing::default(), SEED);
     agent.handle(Time::ZERO, Event::Announced(capacity));
     agent.handle(Time::from_millis(WARM_UP_MS), Event::Tick);
     agent
@@ -77,7 +77,7 @@
             };
             let opening = Opening::open(key, &choice);
             let opening =
-                if choice.spares_first { opening.passed_on(choice.first) } else { opening };
+                if choice.prefers_next { opening.forward_to(choice.first) } else { opening };
             let actions = agent.handle(time, Event::Opening(opening));
             let passes = agent_decides && matches!(actions[..], [Action::PassOn(_)]);
             if passes {
--- a/crates/nutmegkeel_dev/src/measure/retries.rs
+++ b/crates/nutmegkeel_dev/src/measure/retries.rs
@@ -113,9 +113,9 @@
     for (offset, key) in keys.iter().enumerate() {
         let name = Name::of(&"intake".into(), &key.to_be_bytes());
         let id = Id((first + offset) as u64);
-        ledger.ask(Claim { name, owner, id }, DEADLINE);
+        ledger.request(Claim { name, owner, id }, DEADLINE);
     }
-    let Some(group) = ledger.group() else {
+    let Some(group) = ledger.next_batch() else {
         return;
     };
     let outcomes = writer.write(store, Time::ZERO, &group);
--- a/crates/nutmegkeel_dev/src/measure/routing.rs
+++ b/crates/nutmegkeel_dev/src/measure/routing.rs
@@ -127,7 +127,7 @@
     let lies = way.liar && agent == address(0);
     let connections = if lies { 0 } else { open[&agent] };
     let hop = Hop { address: agent, instance: Instance::new(1) };
-    balancer.heard(hop, Report { connections, busy: 0, queued: 0 });
+    balancer.apply_report(hop, Report { connections, busy: 0, queued: 0 });
 }
 
 fn imbalance(open: &BTreeMap<SocketAddr, u32>) -> f64 {
--- a/crates/nutmegkeel_fake/src/soak.rs
+++ b/crates/nutmegkeel_fake/src/soak.rs
@@ -222,7 +222,7 @@
     /// No configuration ever reverts.
     fn check_revisions(&mut self) -> Result<(), Broken> {
         for (address, peer) in &self.fleet.peers {
-            let revision = peer.book().revision();
+            let revision = peer.configuration().revision();
             let before = self.revisions.insert(*address, revision).unwrap_or_default();
             if revision < before {
                 return Err(
@@ -238,7 +238,7 @@
         if !self.fleet.knows_all() {
             return Err(self.broken("not everybody knows everybody".to_owned()));
         }
-        let revisions = self.fleet.peers.values().map(|peer| peer.book().revision());
+        let revisions = self.fleet.peers.values().map(|peer| peer.configuration().revision());
         let newest = revisions.clone().max().unwrap_or_default();
         let behind = revisions.filter(|revision| *revision < newest).count();
         if behind > 0 {
--- a/crates/nutmegkeel_fake/src/store.rs
+++ b/crates/nutmegkeel_fake/src/store.rs
@@ -6,7 +6,7 @@
 use nutmegkeel_core::l4::watch::Timeouts;
 use nutmegkeel_core::revision::{Era, Revision};
 use nutmegkeel_store::kv::{
-    Committed, Fault, Image, Kept, Lease, Pair, Registry, Store, Watched, Write,
+    Committed, Fault, Lease, Pair, Registry, Renewal, Snapshot, Store, Watched, Write,
 };
 
 /// How one call goes.
@@ -139,7 +139,7 @@
 #[derive(Debug)]
 pub struct Leased {
     memory: Memory,
-    kept: Mutex<Kept>,
+    kept: Mutex<Renewal>,
     grants: Mutex<u64>,
 }
 
@@ -147,7 +147,11 @@
     /// An empty service whose next calls meet these fates.
     #[must_use]
     pub fn open(fates: Vec<Fate>) -> Self {
-        Self { memory: Memory::open(fates), kept: Mutex::new(Kept::Renewed), grants: Mutex::new(0) }
+        Self {
+            memory: Memory::open(fates),
+            kept: Mutex::new(Renewal::Renewed),
+            grants: Mutex::new(0),
+        }
     }
 
     /// Lets the next calls meet these fates.
@@ -156,7 +160,7 @@
     }
 
     /// What renewals find from now on.
-    pub fn set_kept(&self, kept: Kept) {
+    pub fn set_kept(&self, kept: Renewal) {
         *lock(&self.kept) = kept;
     }
 
@@ -216,15 +220,15 @@
         self.memory.list(prefix)
     }
 
-    fn image_recent(&self, prefix: &str) -> Result<Image, Fault> {
-        self.image(prefix)
+    fn snapshot_recent(&self, prefix: &str) -> Result<Snapshot, Fault> {
+        self.snapshot(prefix)
     }
 
-    fn image(&self, prefix: &str) -> Result<Image, Fault> {
-        Ok(Image { pairs: self.memory.list(prefix)?, as_of: Revision::ZERO })
+    fn snapshot(&self, prefix: &str) -> Result<Snapshot, Fault> {
+        Ok(Snapshot { pairs: self.memory.list(prefix)?, as_of: Revision::ZERO })
     }
 
-    fn keep(&self, _lease: Lease) -> Result<Kept, Fault> {
+    fn renew(&self, _lease: Lease) -> Result<Renewal, Fault> {
         Ok(*lock(&self.kept))
     }
 
--- a/crates/nutmegkeel_node/src/administration.rs
+++ b/crates/nutmegkeel_node/src/administration.rs
@@ -14,7 +14,7 @@
 use log::info;
 use nutmegkeel_core::balancer::Event;
 use nutmegkeel_core::change::Action;
-use nutmegkeel_core::life::Phase;
+use nutmegkeel_core::lifecycle::Phase;
 use nutmegkeel_core::member::Rumor;
 use nutmegkeel_core::placement::Hop;
 use nutmegkeel_core::verdict::Verdict;
@@ -110,7 +110,7 @@
 
 fn list_classes(shared: &Shared) -> Vec<Class> {
     let core = shared.core();
-    let entries = core.book().entries();
+    let entries = core.configuration().entries();
     let class = |entry: &nutmegkeel_core::configuration::Entry| Class {
         name: entry.name.clone(),
         revision: entry.revision,
@@ -134,7 +134,7 @@
     };
     Status {
         address: peer.membership().me().address,
-        revision: core.book().revision(),
+        revision: core.configuration().revision(),
         standing: core.standing(),
         processes: peer.membership().beliefs().map(process).collect(),
     }
--- a/crates/nutmegkeel_node/src/administration/api.rs
+++ b/crates/nutmegkeel_node/src/administration/api.rs
@@ -6,7 +6,7 @@
 use nutmegkeel_core::change::Request;
 use nutmegkeel_core::class::{self, Target};
 use nutmegkeel_core::configuration::{Revision, Standing};
-use nutmegkeel_core::life::Phase;
+use nutmegkeel_core::lifecycle::Phase;
 use nutmegkeel_core::member::{Health, Instance};
 use nutmegkeel_core::verdict::Verdict;
 use serde::{Deserialize, Serialize};
--- a/crates/nutmegkeel_node/src/agent.rs
+++ b/crates/nutmegkeel_node/src/agent.rs
@@ -18,7 +18,7 @@
 
 use log::info;
 use nutmegkeel_core::agent::Event;
-use nutmegkeel_core::life::Phase;
+use nutmegkeel_core::lifecycle::Phase;
 use nutmegkeel_store::etcd;
 
 use crate::address;
--- a/crates/nutmegkeel_node/src/agent/flow.rs
+++ b/crates/nutmegkeel_node/src/agent/flow.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use metrics::{counter, gauge};
 use nutmegkeel_core::agent::Event;
-use nutmegkeel_core::life::Phase;
+use nutmegkeel_core::lifecycle::Phase;
 use quinn::{Endpoint, Incoming};
 use tokio::sync::watch;
 use tokio::task::JoinSet;
--- a/crates/nutmegkeel_node/src/agent/request.rs
+++ b/crates/nutmegkeel_node/src/agent/request.rs
@@ -16,7 +16,7 @@
 use nutmegkeel_core::admission::{Id, Reason};
 use nutmegkeel_core::agent::Event;
 use nutmegkeel_core::claim;
-use nutmegkeel_core::class::{MOST_DEADLINE_MS, Target};
+use nutmegkeel_core::class::{MAX_DEADLINE_MS, Target};
 use nutmegkeel_core::verdict::Verdict;
 use tokio::sync::{mpsc, oneshot};
 use tokio_stream::wrappers::ReceiverStream;
@@ -287,10 +287,10 @@
     let stated = headers.get(DEADLINE).and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
     let allowed = stated.unwrap_or_else(|| {
         let core = shared.core();
-        let target = core.peer().book().target(&shared.class);
+        let target = core.peer().configuration().target(&shared.class);
         target.map_or_else(|| Target::default().deadline_ms, |target| target.deadline_ms)
     });
-    allowed.min(MOST_DEADLINE_MS)
+    allowed.min(MAX_DEADLINE_MS)
 }
 
 /// The key of a request that must not run twice. Idempotent methods need no claim (RFC 9110, 9.2.2).
--- a/crates/nutmegkeel_node/src/agent/shared.rs
+++ b/crates/nutmegkeel_node/src/agent/shared.rs
@@ -13,9 +13,9 @@
 use nutmegkeel_core::claim::{Claim, Settled};
 use nutmegkeel_core::class;
 use nutmegkeel_core::clock::Time;
-use nutmegkeel_core::life::Phase;
+use nutmegkeel_core::lifecycle::Phase;
 use nutmegkeel_core::member::{Record, Role};
-use nutmegkeel_core::membership::Pace;
+use nutmegkeel_core::membership::Timing;
 use nutmegkeel_core::peer;
 use nutmegkeel_wire::frame::{self, Header};
 use nutmegkeel_wire::key::Ring;
@@ -88,7 +88,7 @@
     };
     let (claims, claim_groups) = channel();
     Ok(Shared {
-        core: Mutex::new(Core::open(me, capacity, Pace::default(), rand::random())),
+        core: Mutex::new(Core::open(me, capacity, Timing::default(), rand::random())),
         waiting: Mutex::new(BTreeMap::new()),
         claims,
         claim_groups: Mutex::new(Some(claim_groups)),
--- a/crates/nutmegkeel_node/src/agent/socket.rs
+++ b/crates/nutmegkeel_node/src/agent/socket.rs
@@ -8,9 +8,9 @@
 use std::task::{Context, Poll, ready};
 
 use metrics::counter;
-use nutmegkeel_core::agent::{Action, Event, MOST_PASSES, Opening};
+use nutmegkeel_core::agent::{Action, Event, MAX_PASSES, Opening};
 use nutmegkeel_core::placement::Hop;
-use nutmegkeel_wire::frame::{self, Frame, Header, Inbound, LARGEST, Outbound};
+use nutmegkeel_wire::frame::{self, Frame, Header, Inbound, MAX_DATAGRAM, Outbound};
 use nutmegkeel_wire::packet::{self, Header as Packet};
 use nutmegkeel_wire::reset;
 use quinn::udp::{RecvMeta, Transmit};
@@ -43,14 +43,14 @@
         let now = shared.now();
         let (via, agent, report) = {
             let mut core = shared.core();
-            (core.way(now, caller), core.hop(), core.report())
+            (core.return_path(now, caller), core.hop(), core.report())
         };
         let Some(via) = via else {
             counter!(metric::DROPPED, "reason" => "no_way").increment(1);
             return Ok(());
         };
         let outbound = Outbound { class: shared.class_id, caller, agent, report };
-        let mut buffer = Vec::with_capacity(LARGEST);
+        let mut buffer = Vec::with_capacity(MAX_DATAGRAM);
         frame::encode(
             &shared.keys,
             now,
@@ -76,7 +76,7 @@
     ) -> Poll<io::Result<usize>> {
         let most = buffers.len().min(meta.len());
         let mut filled = 0;
-        let mut datagram = [0; LARGEST];
+        let mut datagram = [0; MAX_DATAGRAM];
         while filled < most {
             let mut read = ReadBuf::new(&mut datagram);
             match self.shared.socket.poll_recv_from(context, &mut read) {
@@ -165,7 +165,7 @@
         }
         return dropped("wrong_instance");
     }
-    shared.core().heard_caller(shared.now(), inbound.caller, inbound.via);
+    shared.core().record_caller(shared.now(), inbound.caller, inbound.via);
     if let Some(opening) = inbound.opening {
         let actions = shared.core().handle(shared.now(), Event::Opening(opening));
         if let Some(Action::PassOn(next)) = actions.into_iter().next() {
@@ -179,16 +179,16 @@
 /// An opening meant for an earlier run goes to the next choice.
 fn pass_on(shared: &Shared, inbound: &Inbound, opening: Opening, packet: &[u8]) {
     if let Some(next) = opening.next
-        && opening.passes < MOST_PASSES
+        && opening.passes < MAX_PASSES
     {
         send_on(shared, inbound, opening, next, packet);
     }
 }
 
 fn send_on(shared: &Shared, inbound: &Inbound, opening: Opening, next: Hop, packet: &[u8]) {
-    let opening = opening.passed_on(shared.core().hop());
+    let opening = opening.forward_to(shared.core().hop());
     let onward = Inbound { instance: next.instance, opening: Some(opening), ..inbound.clone() };
-    let mut buffer = Vec::with_capacity(LARGEST);
+    let mut buffer = Vec::with_capacity(MAX_DATAGRAM);
     frame::encode(&shared.keys, shared.now(), Header::Inbound(onward), packet, &mut buffer);
     if shared.socket.try_send_to(&buffer, next.address).is_ok() {
         counter!(metric::PASSED_ON).increment(1);
@@ -208,7 +208,7 @@
         (core.hop(), core.report())
     };
     let outbound = Outbound { class: inbound.class, caller: inbound.caller, agent, report };
-    let mut buffer = Vec::with_capacity(LARGEST);
+    let mut buffer = Vec::with_capacity(MAX_DATAGRAM);
     frame::encode(&shared.keys, shared.now(), Header::Outbound(outbound), &reset, &mut buffer);
     if shared.socket.try_send_to(&buffer, inbound.via).is_ok() {
         counter!(metric::RESETS).increment(1);
--- a/crates/nutmegkeel_node/src/balancer.rs
+++ b/crates/nutmegkeel_node/src/balancer.rs
@@ -17,12 +17,12 @@
 use nutmegkeel_core::balancer::{Action, Balancer as Core, Event};
 use nutmegkeel_core::class;
 use nutmegkeel_core::clock::Time;
-use nutmegkeel_core::ended::Ended;
-use nutmegkeel_core::life::Phase;
+use nutmegkeel_core::lifecycle::Phase;
 use nutmegkeel_core::member::{Instance, Record, Role};
-use nutmegkeel_core::membership::Pace;
+use nutmegkeel_core::membership::Timing;
 use nutmegkeel_core::peer;
 use nutmegkeel_core::placement::Rule;
+use nutmegkeel_core::tombstone::Tombstones;
 use nutmegkeel_store::etcd;
 use nutmegkeel_wire::frame::{self, Header};
 use nutmegkeel_wire::key::Ring;
@@ -61,7 +61,7 @@
     own: SocketAddr,
     join: SocketAddr,
     desks: BTreeMap<class::Id, Arc<Desk>>,
-    ended: RwLock<Ended>,
+    ended: RwLock<Tombstones>,
     reads: Sender<()>,
     last_packet_ms: AtomicU64,
     leaving: AtomicBool,
@@ -184,7 +184,7 @@
         match action {
             peer::Action::Send(to, message) => self.send(to, message),
             peer::Action::Join(message) => self.send(self.join, message),
-            peer::Action::Gone(address, instance) => self.ended_mut().note_gone(address, instance),
+            peer::Action::Gone(address, instance) => self.ended_mut().mark_ended(address, instance),
             peer::Action::Superseded => {
                 info!(event = "balancer_superseded"; "a later run has this address");
                 self.stopped.store(true, Ordering::Relaxed);
@@ -201,19 +201,19 @@
                 info!(event = "peer_changed", peer:display = rumor.record.address,
                     health:? = rumor.health, phase:? = rumor.record.phase; "peer changed");
                 if rumor.is_living() {
-                    self.ended_mut().note_living(rumor.record.address, rumor.record.instance);
+                    self.ended_mut().mark_alive(rumor.record.address, rumor.record.instance);
                 }
             }
         }
     }
 
-    fn ended_mut(&self) -> RwLockWriteGuard<'_, Ended> {
+    fn ended_mut(&self) -> RwLockWriteGuard<'_, Tombstones> {
         self.ended.write().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Whether this run of the agent at `address` is known to be over.
     fn is_gone(&self, address: SocketAddr, instance: Instance) -> bool {
-        self.ended.read().unwrap_or_else(PoisonError::into_inner).is_gone(address, instance)
+        self.ended.read().unwrap_or_else(PoisonError::into_inner).is_ended(address, instance)
     }
 
     fn send(&self, to: SocketAddr, message: peer::Message) {
@@ -252,7 +252,7 @@
         domain: common.domain.clone(),
         phase: Phase::Serving,
     };
-    let core = Core::open(me, Pace::default(), Rule::LoadedRendezvous, rand::random());
+    let core = Core::open(me, Timing::default(), Rule::LoadedRendezvous, rand::random());
     Ok(Shared {
         core: Mutex::new(core),
         clock,
@@ -261,7 +261,7 @@
         own,
         join: common.join,
         desks,
-        ended: RwLock::new(Ended::default()),
+        ended: RwLock::new(Tombstones::default()),
         reads,
         last_packet_ms: AtomicU64::new(0),
         leaving: AtomicBool::new(false),
--- a/crates/nutmegkeel_node/src/balancer/forward.rs
+++ b/crates/nutmegkeel_node/src/balancer/forward.rs
@@ -7,7 +7,7 @@
 use nutmegkeel_core::agent::Opening;
 use nutmegkeel_core::balancer::{Action, Event};
 use nutmegkeel_core::placement::{Hop, Key};
-use nutmegkeel_wire::frame::{self, Header, Inbound, LARGEST, Outbound};
+use nutmegkeel_wire::frame::{self, Header, Inbound, MAX_DATAGRAM, Outbound};
 use nutmegkeel_wire::packet::{self, Header as Packet};
 use nutmegkeel_wire::{cid, reset};
 
@@ -16,8 +16,8 @@
 
 /// Takes callers' packets from a class address until the balancer stops.
 pub(super) fn from_callers(shared: &Shared, desk: &Desk) {
-    let mut datagram = [0; LARGEST];
-    let mut buffer = Vec::with_capacity(LARGEST);
+    let mut datagram = [0; MAX_DATAGRAM];
+    let mut buffer = Vec::with_capacity(MAX_DATAGRAM);
     while !shared.stopped.load(Ordering::Relaxed) {
         let Ok((length, caller)) = desk.socket.recv_from(&mut datagram) else {
             continue;
@@ -33,7 +33,7 @@
 
 /// Takes frames of agents and peers until the balancer stops.
 pub(super) fn from_processes(shared: &Shared) {
-    let mut datagram = [0; LARGEST];
+    let mut datagram = [0; MAX_DATAGRAM];
     while !shared.stopped.load(Ordering::Relaxed) {
         if let Ok((length, _)) = shared.frames.recv_from(&mut datagram) {
             from_process(shared, &datagram[..length]);
@@ -139,7 +139,7 @@
         return dropped("send");
     }
     counter!(metric::PACKETS_OUT).increment(1);
-    shared.handle(Event::Heard(outbound.agent, outbound.report));
+    shared.handle(Event::Reported(outbound.agent, outbound.report));
 }
 
 fn dropped(reason: &'static str) {
--- a/crates/nutmegkeel_node/src/l4/checkpoint.rs
+++ b/crates/nutmegkeel_node/src/l4/checkpoint.rs
@@ -88,7 +88,7 @@
             }
             let outcome = match &pending {
                 Some(list) => document.write(&store, clock.now(), &wire::encode(list)),
-                None => document.keep(&store, clock.now()),
+                None => document.renew(&store, clock.now()),
             };
             if outcome.is_ok() {
                 pending = None;
--- a/crates/nutmegkeel_node/src/l4/collector.rs
+++ b/crates/nutmegkeel_node/src/l4/collector.rs
@@ -8,7 +8,7 @@
 use nutmegkeel_core::l4::checkpoint::Checkpoint;
 use nutmegkeel_platform::settings::Settings;
 use nutmegkeel_platform::store::Newest;
-use nutmegkeel_store::group::{Entry, Group};
+use nutmegkeel_store::batch::{self, Entry};
 use nutmegkeel_wire::checkpoint as wire;
 
 use super::checkpoint;
@@ -51,7 +51,8 @@
     let prefix = checkpoint::prefix(settings);
     thread::Builder::new().name("collector".to_owned()).spawn(move || {
         let mut reachability = Reachability::open(Purpose::Flows);
-        let mut group = Group::open(prefix.clone(), |bytes| Some(wire::decode(bytes)?.number));
+        let mut group =
+            batch::Writer::open(prefix.clone(), |bytes| Some(wire::decode(bytes)?.number));
         while let Ok(batch) = batches.recv() {
             let entries: Vec<Entry> = batch.iter().map(|one| entry(&prefix, one)).collect();
             let outcome = group.write(&store, clock.now(), &entries);
--- a/crates/nutmegkeel_node/src/l4/configuration/watch.rs
+++ b/crates/nutmegkeel_node/src/l4/configuration/watch.rs
@@ -13,7 +13,7 @@
 use nutmegkeel_core::l4::word::pause_after_change_ms;
 use nutmegkeel_core::revision::{Era, Revision};
 use nutmegkeel_platform::configuration::{self, Entry};
-use nutmegkeel_store::kv::{Change, Fault, Image, Pair, Registry, Watched};
+use nutmegkeel_store::kv::{Change, Fault, Pair, Registry, Snapshot, Watched};
 
 use super::Source;
 use crate::clock::Clock;
@@ -165,7 +165,7 @@
                 self.after = Some(until);
                 Ok(self.follow(changes))
             }
-            Watched::Forgotten => {
+            Watched::Compacted => {
                 self.after = None;
                 self.next()
             }
@@ -174,17 +174,17 @@
 
     /// All that there is. At the start what the store held some seconds ago will do: every balancer reads it
     /// then, and what is newer comes with the watch, or from others.
-    fn image(&mut self) -> Result<Image, Fault> {
+    fn image(&mut self) -> Result<Snapshot, Fault> {
         if self.has_read {
-            return self.store.image(configuration::PREFIX);
+            return self.store.snapshot(configuration::PREFIX);
         }
-        let image = self.store.image_recent(configuration::PREFIX)?;
+        let image = self.store.snapshot_recent(configuration::PREFIX)?;
         self.has_read = true;
         Ok(image)
     }
 
     /// Takes in all that there is.
-    fn read(&mut self, image: Image) -> Vec<News> {
+    fn read(&mut self, image: Snapshot) -> Vec<News> {
         // While there is no configuration yet a watch waits for it: to ask again and again costs a call
         // each time. An old list may come without a revision to go on from.
         self.after = (image.as_of.number > 0).then_some(image.as_of);
--- a/crates/nutmegkeel_node/src/l4/link.rs
+++ b/crates/nutmegkeel_node/src/l4/link.rs
@@ -32,7 +32,7 @@
     mut handle: impl FnMut(&mut [u8], Ipv4Addr) + Send + 'static,
 ) -> io::Result<()> {
     thread::Builder::new().name(name.to_owned()).spawn(move || {
-        let mut buffer = [0; wire::LONGEST];
+        let mut buffer = [0; wire::MAX_DATAGRAM];
         loop {
             match socket.recv_from(&mut buffer) {
                 Ok((length, std::net::SocketAddr::V4(from))) => {
@@ -71,7 +71,7 @@
 
     /// Sends a message and the packet behind it.
     pub(super) fn send(&self, to: Ipv4Addr, message: &Message, packet: &[u8]) {
-        let mut buffer = Vec::with_capacity(wire::LONGEST);
+        let mut buffer = Vec::with_capacity(wire::MAX_DATAGRAM);
         wire::encode(message, packet, &mut buffer);
         if packet.is_empty() {
             counter!(metric::CONTROL_BYTES).increment(buffer.len() as u64);
--- a/crates/nutmegkeel_node/src/l4/membership.rs
+++ b/crates/nutmegkeel_node/src/l4/membership.rs
@@ -146,7 +146,7 @@
         let is_alone = self.read_at.is_some() && !hears;
         self.read_at = Some(now);
         let pairs = read(&self.store, &self.prefix, is_alone)?;
-        self.registration.listed(now, &pairs);
+        self.registration.check_list(now, &pairs);
         (self.hooks.listed)(addresses(&pairs, &self.prefix));
         Ok(())
     }
--- a/crates/nutmegkeel_node/src/l4/metered.rs
+++ b/crates/nutmegkeel_node/src/l4/metered.rs
@@ -6,7 +6,7 @@
 use nutmegkeel_platform::settings::Settings;
 use nutmegkeel_platform::store::{Client, Newest};
 use nutmegkeel_store::kv::{
-    Committed, Fault, Image, Kept, Lease, Pair, Registry, Store, Watched, Write,
+    Committed, Fault, Lease, Pair, Registry, Renewal, Snapshot, Store, Watched, Write,
 };
 
 use crate::metric;
@@ -89,20 +89,20 @@
         self.count("list_recent", self.client.list_recent(prefix))
     }
 
-    fn image_recent(&self, prefix: &str) -> Result<Image, Fault> {
-        self.count("list_recent", self.client.image_recent(prefix))
+    fn snapshot_recent(&self, prefix: &str) -> Result<Snapshot, Fault> {
+        self.count("list_recent", self.client.snapshot_recent(prefix))
     }
 
-    fn image(&self, prefix: &str) -> Result<Image, Fault> {
-        self.count("list", self.client.image(prefix))
+    fn snapshot(&self, prefix: &str) -> Result<Snapshot, Fault> {
+        self.count("list", self.client.snapshot(prefix))
     }
 
     fn era(&self) -> Era {
         self.client.era()
     }
 
-    fn keep(&self, lease: Lease) -> Result<Kept, Fault> {
-        self.count("keep", self.client.keep(lease))
+    fn renew(&self, lease: Lease) -> Result<Renewal, Fault> {
+        self.count("keep", self.client.renew(lease))
     }
 
     fn watch(&self, prefix: &str, after: Revision, timeouts: Timeouts) -> Result<Watched, Fault> {
--- a/crates/nutmegkeel_store/src/group.rs
+++ b/crates/nutmegkeel_store/src/batch.rs
@@ -36,7 +36,7 @@
 /// Several writers may be active at once, for instance when each holds the other for dead. The
 /// conditions of the writes and the sequence numbers in the values keep them consistent.
 #[derive(Debug)]
-pub struct Group {
+pub struct Writer {
     prefix: String,
     /// Decodes the sequence number of a value; `None` if the value cannot be decoded.
     number: fn(&[u8]) -> Option<u64>,
@@ -49,7 +49,7 @@
     era: Era,
 }
 
-impl Group {
+impl Writer {
     /// Creates a writer that has not read the store yet.
     #[must_use]
     pub const fn open(prefix: String, number: fn(&[u8]) -> Option<u64>) -> Self {
@@ -114,7 +114,7 @@
         if newer.is_empty() {
             return Ok(true);
         }
-        let (lease, _) = self.lease.hold(store, now)?;
+        let (lease, _) = self.lease.ensure(store, now)?;
         let write = |entry: &&Entry| Write {
             key: entry.key.clone(),
             value: entry.value.clone(),
--- a/crates/nutmegkeel_store/src/claims.rs
+++ b/crates/nutmegkeel_store/src/claims.rs
@@ -1,6 +1,6 @@
 //! Claims of requests with an idempotency key in the platform's store, written in batches.
 
-use nutmegkeel_core::claim::{Claim, KEPT_MS, Outcome};
+use nutmegkeel_core::claim::{Claim, Outcome, RETENTION_MS};
 use nutmegkeel_core::clock::Time;
 use serde::{Deserialize, Serialize};
 
@@ -17,7 +17,7 @@
     request: u64,
 }
 
-/// Writes claims under a lease of its own, so that each is kept for at least [`KEPT_MS`] and at
+/// Writes claims under a lease of its own, so that each is kept for at least [`RETENTION_MS`] and at
 /// most twice as long.
 #[derive(Debug, Default)]
 pub struct Writer {
@@ -52,11 +52,11 @@
 
     fn lease(&mut self, store: &dyn Store, now: Time) -> Result<Lease, Fault> {
         if let Some((lease, granted)) = self.lease
-            && now.since(granted) < KEPT_MS
+            && now.since(granted) < RETENTION_MS
         {
             return Ok(lease);
         }
-        let lease = store.grant(2 * KEPT_MS / 1_000)?;
+        let lease = store.grant(2 * RETENTION_MS / 1_000)?;
         self.lease = Some((lease, now));
         Ok(lease)
     }
--- a/crates/nutmegkeel_store/src/document.rs
+++ b/crates/nutmegkeel_store/src/document.rs
@@ -44,7 +44,7 @@
     /// # Errors
     /// If the store does not answer; the caller may try again.
     pub fn write(&mut self, store: &dyn Registry, now: Time, value: &[u8]) -> Result<(), Fault> {
-        let (lease, _) = self.lease.hold(store, now)?;
+        let (lease, _) = self.lease.ensure(store, now)?;
         let write = Write {
             key: self.key.clone(),
             value: value.to_vec(),
@@ -61,10 +61,10 @@
     ///
     /// # Errors
     /// If the store does not answer.
-    pub fn keep(&mut self, store: &dyn Registry, now: Time) -> Result<(), Fault> {
+    pub fn renew(&mut self, store: &dyn Registry, now: Time) -> Result<(), Fault> {
         if !self.lease.is_held() {
             return Ok(());
         }
-        self.lease.hold(store, now).map(|_| ())
+        self.lease.ensure(store, now).map(|_| ())
     }
 }
--- a/crates/nutmegkeel_store/src/kv.rs
+++ b/crates/nutmegkeel_store/src/kv.rs
@@ -131,7 +131,7 @@
 
 /// Result of the renewal of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept {
+pub enum Renewal {
     /// The lease was renewed.
     Renewed,
     /// The lease has ended, and its keys are deleted.
@@ -145,7 +145,7 @@
     Until(Revision, Vec<Change>),
     /// The service no longer has the changes after the given revision, so the keys must be read
     /// again.
-    Forgotten,
+    Compacted,
 }
 
 /// One change reported by a watch.
@@ -164,7 +164,7 @@
 
 /// The keys with a prefix, and a revision of the whole service whose changes they include.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Image {
+pub struct Snapshot {
     /// The keys.
     pub pairs: Vec<Pair>,
     /// The revision. A watch that starts after it misses no change.
@@ -179,11 +179,11 @@
     /// If the service does not answer.
     fn list_recent(&self, prefix: &str) -> Result<Vec<Pair>, Fault>;
 
-    /// Like [`Registry::image`], but cheaper; the answer may be some seconds old.
+    /// Like [`Registry::snapshot`], but cheaper; the answer may be some seconds old.
     ///
     /// # Errors
     /// If the service does not answer.
-    fn image_recent(&self, prefix: &str) -> Result<Image, Fault>;
+    fn snapshot_recent(&self, prefix: &str) -> Result<Snapshot, Fault>;
 
     /// Reads all keys with this prefix and the revision after which a watch can start.
     ///
@@ -192,7 +192,7 @@
     ///
     /// # Errors
     /// If the service does not answer.
-    fn image(&self, prefix: &str) -> Result<Image, Fault>;
+    fn snapshot(&self, prefix: &str) -> Result<Snapshot, Fault>;
 
     /// Returns the era of the service according to its latest answers. Keys that were written under
     /// a lease of an earlier era may be gone.
@@ -202,7 +202,7 @@
     ///
     /// # Errors
     /// If the service does not answer.
-    fn keep(&self, lease: Lease) -> Result<Kept, Fault>;
+    fn renew(&self, lease: Lease) -> Result<Renewal, Fault>;
 
     /// Waits for a change after revision `after` to a key with this prefix, within `timeouts`.
     ///
--- a/crates/nutmegkeel_store/src/lease.rs
+++ b/crates/nutmegkeel_store/src/lease.rs
@@ -3,7 +3,7 @@
 use nutmegkeel_core::clock::Time;
 use nutmegkeel_core::revision::Era;
 
-use crate::kv::{Fault, Kept, Lease, Registry};
+use crate::kv::{Fault, Lease, Registry, Renewal};
 
 /// The lease of one process.
 #[derive(Debug)]
@@ -33,17 +33,17 @@
     ///
     /// # Errors
     /// If the store does not answer.
-    pub fn hold(&mut self, store: &dyn Registry, now: Time) -> Result<(Lease, bool), Fault> {
+    pub fn ensure(&mut self, store: &dyn Registry, now: Time) -> Result<(Lease, bool), Fault> {
         let is_lost = self.era != store.era();
         match self.lease.filter(|_| !is_lost) {
             None => self.grant(store, now),
             Some(lease) if now.since(self.renewed) < self.renew_ms => Ok((lease, false)),
-            Some(lease) => match store.keep(lease)? {
-                Kept::Renewed => {
+            Some(lease) => match store.renew(lease)? {
+                Renewal::Renewed => {
                     self.renewed = now;
                     Ok((lease, false))
                 }
-                Kept::Ended => self.grant(store, now),
+                Renewal::Ended => self.grant(store, now),
             },
         }
     }
--- a/crates/nutmegkeel_store/src/lib.rs
+++ b/crates/nutmegkeel_store/src/lib.rs
@@ -1,10 +1,10 @@
 //! Persistent state in the platform's key-value store.
 
+pub mod batch;
 pub mod claims;
 pub mod classes;
 pub mod document;
 pub mod etcd;
-pub mod group;
 pub mod http;
 pub mod kv;
 pub mod lease;
--- a/crates/nutmegkeel_store/src/registration.rs
+++ b/crates/nutmegkeel_store/src/registration.rs
@@ -53,7 +53,7 @@
     /// # Errors
     /// If the store does not answer; the next call continues from there.
     pub fn step(&mut self, store: &dyn Registry, now: Time) -> Result<(), Fault> {
-        let (lease, is_new) = self.lease.hold(store, now)?;
+        let (lease, is_new) = self.lease.ensure(store, now)?;
         if is_new {
             self.written = None;
         }
@@ -68,7 +68,7 @@
     ///
     /// Guards against a store that deleted the key while the lease is still valid: renewals would
     /// succeed, and no other process would find this one.
-    pub fn listed(&mut self, now: Time, pairs: &[Pair]) {
+    pub fn check_list(&mut self, now: Time, pairs: &[Pair]) {
         let settled = self.written.is_some_and(|written| now.since(written) > LIST_AGE_MS);
         if settled && !pairs.iter().any(|pair| pair.key == self.key) {
             self.written = None;
--- a/crates/nutmegkeel_store/tests/group.rs
+++ b/crates/nutmegkeel_store/tests/batch.rs
@@ -2,8 +2,8 @@
 
 use nutmegkeel_core::clock::Time;
 use nutmegkeel_fake::store::{Fate, Leased};
-use nutmegkeel_store::group::{Entry, Group};
-use nutmegkeel_store::kv::{Kept, Store};
+use nutmegkeel_store::batch::{Entry, Writer};
+use nutmegkeel_store::kv::{Renewal, Store};
 
 const PREFIX: &str = "flows/";
 
@@ -12,8 +12,8 @@
 }
 
 /// The number is the value's only byte.
-fn group() -> Group {
-    Group::open(PREFIX.to_owned(), |value| value.first().map(|byte| u64::from(*byte)))
+fn group() -> Writer {
+    Writer::open(PREFIX.to_owned(), |value| value.first().map(|byte| u64::from(*byte)))
 }
 
 fn entry(owner: usize, number: u8) -> Entry {
@@ -108,7 +108,7 @@
     let store = Leased::open(Vec::new());
     let mut group = group();
     group.write(&store, at(0), &[entry(1, 1)]).expect("the store answers");
-    store.set_kept(Kept::Ended);
+    store.set_kept(Renewal::Ended);
 
     let written = group.write(&store, at(50_000), &[entry(1, 2)]);
 
--- a/crates/nutmegkeel_store/tests/claims.rs
+++ b/crates/nutmegkeel_store/tests/claims.rs
@@ -80,8 +80,8 @@
     let store = Memory::open(vec![Fate::Answered, Fate::AnswerLost, Fate::CallLost]);
     let claim = claim(1, 1, "filing");
     let mut ledger = Ledger::default();
-    ledger.ask(claim, DEADLINE);
-    let group = ledger.group().expect("one claim waits");
+    ledger.request(claim, DEADLINE);
+    let group = ledger.next_batch().expect("one claim waits");
 
     let outcomes = write(&store, &group);
     let settled = ledger.written(Time::from_millis(5), &outcomes);
@@ -102,8 +102,8 @@
 #[test]
 fn a_claim_that_was_held_too_long_is_not_acted_upon() {
     let mut ledger = Ledger::default();
-    ledger.ask(claim(1, 1, "filing"), DEADLINE);
-    ledger.group();
+    ledger.request(claim(1, 1, "filing"), DEADLINE);
+    ledger.next_batch();
 
     let settled = ledger.written(DEADLINE.after(1), &[Outcome::Ours]);
 
@@ -115,8 +115,8 @@
 #[test]
 fn a_key_claimed_before_is_not_run_again() {
     let mut ledger = Ledger::default();
-    ledger.ask(claim(1, 1, "filing"), DEADLINE);
-    ledger.group();
+    ledger.request(claim(1, 1, "filing"), DEADLINE);
+    ledger.next_batch();
 
     let settled = ledger.written(Time::ZERO, &[Outcome::Theirs]);
 
@@ -126,22 +126,22 @@
 #[test]
 fn one_group_is_in_flight_at_a_time() {
     let mut ledger = Ledger::default();
-    ledger.ask(claim(1, 1, "one"), DEADLINE);
-    assert!(ledger.group().is_some());
-    ledger.ask(claim(1, 2, "two"), DEADLINE);
+    ledger.request(claim(1, 1, "one"), DEADLINE);
+    assert!(ledger.next_batch().is_some());
+    ledger.request(claim(1, 2, "two"), DEADLINE);
 
-    assert_eq!(ledger.group(), None);
+    assert_eq!(ledger.next_batch(), None);
     ledger.written(Time::ZERO, &[Outcome::Ours]);
-    assert_eq!(ledger.group().map(|group| group.len()), Some(1));
+    assert_eq!(ledger.next_batch().map(|group| group.len()), Some(1));
 }
 
 /// A caller went away while its claim was in flight; its request must not start any more.
 #[test]
 fn a_request_given_up_during_its_claim_does_not_run() {
     let mut ledger = Ledger::default();
-    ledger.ask(claim(1, 1, "filing"), DEADLINE);
-    ledger.group();
-    ledger.forget(Id(1));
+    ledger.request(claim(1, 1, "filing"), DEADLINE);
+    ledger.next_batch();
+    ledger.cancel(Id(1));
 
     assert_eq!(ledger.written(Time::ZERO, &[Outcome::Ours]), []);
 }
--- a/crates/nutmegkeel_store/tests/document.rs
+++ b/crates/nutmegkeel_store/tests/document.rs
@@ -3,7 +3,7 @@
 use nutmegkeel_core::clock::Time;
 use nutmegkeel_fake::store::{Fate, Leased};
 use nutmegkeel_store::document::Document;
-use nutmegkeel_store::kv::{Kept, Store};
+use nutmegkeel_store::kv::{Renewal, Store};
 
 const KEY: &str = "flows/10.0.0.1";
 
@@ -65,7 +65,7 @@
 fn a_document_that_was_never_written_takes_no_lease() {
     let store = Leased::open(Vec::new());
 
-    let kept = document().keep(&store, at(50_000));
+    let kept = document().renew(&store, at(50_000));
 
     assert_eq!(kept, Ok(()));
     assert_eq!(store.grants(), 0);
@@ -76,9 +76,9 @@
     let store = Leased::open(Vec::new());
     let mut document = document();
     document.write(&store, at(0), b"one").expect("the store answers");
-    store.set_kept(Kept::Ended);
+    store.set_kept(Renewal::Ended);
 
-    let kept = document.keep(&store, at(50_000));
+    let kept = document.renew(&store, at(50_000));
 
     assert_eq!(kept, Ok(()));
     assert_eq!(store.grants(), 2);
--- a/crates/nutmegkeel_store/tests/registration.rs
+++ b/crates/nutmegkeel_store/tests/registration.rs
@@ -2,7 +2,7 @@
 
 use nutmegkeel_core::clock::Time;
 use nutmegkeel_fake::store::{Fate, Leased};
-use nutmegkeel_store::kv::{Kept, Store};
+use nutmegkeel_store::kv::{Renewal, Store};
 use nutmegkeel_store::registration::{RENEW_MS, Registration};
 
 fn entry() -> Registration {
@@ -71,7 +71,7 @@
     let store = Leased::open(Vec::new());
     let mut entry = entry();
     entry.step(&store, at(0)).expect("the store answers");
-    store.set_kept(Kept::Ended);
+    store.set_kept(Renewal::Ended);
 
     entry.step(&store, at(RENEW_MS)).expect("the store answers");
 
@@ -111,10 +111,10 @@
     let mut entry = entry();
     entry.step(&store, at(0)).expect("the store answers");
 
-    entry.listed(at(3_000), &[]);
+    entry.check_list(at(3_000), &[]);
     entry.step(&store, at(3_000)).expect("the store answers");
     let early = store.writes();
-    entry.listed(at(8_000), &[]);
+    entry.check_list(at(8_000), &[]);
     entry.step(&store, at(8_000)).expect("the store answers");
 
     assert_eq!(early, 1, "a cheap list may be seconds old");
--- a/crates/nutmegkeel_wire/src/frame.rs
+++ b/crates/nutmegkeel_wire/src/frame.rs
@@ -26,9 +26,9 @@
 const COVERED: usize = 64;
 /// Maximum difference between the time stamp of a frame and the clock, in milliseconds. Other
 /// frames are dropped.
-pub const STALE_MS: u64 = 30_000;
+pub const MAX_SKEW_MS: u64 = 30_000;
 /// Maximum length of a datagram, in bytes.
-pub const LARGEST: usize = 2_048;
+pub const MAX_DATAGRAM: usize = 2_048;
 
 /// Header of a packet from a caller to an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -150,7 +150,7 @@
         return Err(Fault::Mac);
     }
     let off = now.since(stamped.stamp).max(stamped.stamp.since(now));
-    if off > STALE_MS {
+    if off > MAX_SKEW_MS {
         return Err(Fault::Stale(off));
     }
     Ok(Frame { header: stamped.header, packet })
--- a/crates/nutmegkeel_wire/src/l4.rs
+++ b/crates/nutmegkeel_wire/src/l4.rs
@@ -8,7 +8,7 @@
 
 /// Maximum length of a datagram, in bytes: a message with the longest packet, or with a part of a
 /// roster.
-pub const LONGEST: usize = 2_048;
+pub const MAX_DATAGRAM: usize = 2_048;
 
 /// Reason why a datagram cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/nutmegkeel_wire/tests/frame.rs
+++ b/crates/nutmegkeel_wire/tests/frame.rs
@@ -9,7 +9,7 @@
 use nutmegkeel_core::member::Instance;
 use nutmegkeel_core::placement::Hop;
 use nutmegkeel_wire::cid;
-use nutmegkeel_wire::frame::{self, Fault, Header, Outbound, STALE_MS};
+use nutmegkeel_wire::frame::{self, Fault, Header, MAX_SKEW_MS, Outbound};
 use nutmegkeel_wire::key::Ring;
 use nutmegkeel_wire::packet;
 use nutmegkeel_wire::reset;
@@ -85,9 +85,9 @@
 fn a_frame_recorded_and_sent_again_later_is_refused() {
     let bytes = encoded(b"the packet");
 
-    let late = frame::decode(&old_ring(), NOW.after(STALE_MS + 1), &bytes);
+    let late = frame::decode(&old_ring(), NOW.after(MAX_SKEW_MS + 1), &bytes);
 
-    assert_eq!(late, Err(Fault::Stale(STALE_MS + 1)));
+    assert_eq!(late, Err(Fault::Stale(MAX_SKEW_MS + 1)));
 }
 
 /// Every flow breaks when the key is rotated. Old and new key are accepted while only one is used.
--- a/crates/nutmegkeel_wire/tests/l4.rs
+++ b/crates/nutmegkeel_wire/tests/l4.rs
@@ -11,7 +11,7 @@
 use nutmegkeel_core::l4::route::Service;
 use nutmegkeel_core::l4::server::Incarnation;
 use nutmegkeel_core::revision::{Era, Revision};
-use nutmegkeel_wire::l4::{Fault, LONGEST, decode, encode};
+use nutmegkeel_wire::l4::{Fault, MAX_DATAGRAM, decode, encode};
 use quickcheck::QuickCheck;
 
 fn declined() -> Message {
@@ -107,6 +107,6 @@
         let mut datagram = Vec::new();
         encode(&message, b"", &mut datagram);
 
-        assert!(datagram.len() <= LONGEST, "{} bytes", datagram.len());
+        assert!(datagram.len() <= MAX_DATAGRAM, "{} bytes", datagram.len());
     }
 }
