--- a/crates/nutmegkeel_core/src/admission.rs
+++ b/crates/nutmegkeel_core/src/admission.rs
@@ -58,10 +58,10 @@
     /// Maximum number of queued requests per request that may be in progress.
     const QUEUE_PER_SLOT: usize = 16;
     /// Lower bound of the limit, in percent of the slots.
-    const LEAST_PERCENT: u64 = 10;
+    const MIN_PERCENT: u64 = 10;
     /// Growth of the limit per request that the backend server did not shed, in percent of the
     /// slots.
-    const GROW_PERCENT: u64 = 1;
+    const GROWTH_PERCENT: u64 = 1;
 
     /// Creates the gate of a backend server with `slots` slots.
     #[must_use]
@@ -108,8 +108,8 @@
             self.start(now, id);
             return Some(Decision::Start(id));
         }
-        let room = self.queue.len() < self.limit() * Self::QUEUE_PER_SLOT;
-        if !room || self.expected_end(now, self.queue.len()) > deadline {
+        let has_room = self.queue.len() < self.limit() * Self::QUEUE_PER_SLOT;
+        if !has_room || self.expected_end(now, self.queue.len()) > deadline {
             return Some(self.refuse(id, Reason::Busy));
         }
         self.queue.push_back(Waiting { id, arrived: now, deadline });
@@ -124,24 +124,24 @@
             return Vec::new();
         };
         if shed {
-            self.limit_percent = (self.limit_percent / 2).max(Self::LEAST_PERCENT);
+            self.limit_percent = (self.limit_percent / 2).max(Self::MIN_PERCENT);
         } else {
-            self.limit_percent = (self.limit_percent + Self::GROW_PERCENT).min(100);
+            self.limit_percent = (self.limit_percent + Self::GROWTH_PERCENT).min(100);
             self.service.add(now.since(started));
         }
-        self.pull(now)
+        self.start_waiting(now)
     }
 
     /// Handles a request that its caller cancelled: frees its slot or its place in the queue.
     pub fn cancel(&mut self, now: Time, id: Id) -> Vec<Decision> {
         self.queue.retain(|waiting| waiting.id != id);
         self.running.remove(&id);
-        self.pull(now)
+        self.start_waiting(now)
     }
 
     /// Refuses queued requests that can no longer finish in time and starts those that fit.
     pub fn tick(&mut self, now: Time) -> Vec<Decision> {
-        self.pull(now)
+        self.start_waiting(now)
     }
 
     /// Returns the arrival time of the oldest queued request.
@@ -160,8 +160,8 @@
         );
     }
 
-    fn pull(&mut self, now: Time) -> Vec<Decision> {
-        let mut decisions = self.give_up_late(now);
+    fn start_waiting(&mut self, now: Time) -> Vec<Decision> {
+        let mut decisions = self.refuse_late(now);
         while self.running.len() < self.limit() {
             let Some(waiting) = self.queue.pop_front() else {
                 break;
@@ -174,7 +174,7 @@
 
     /// Refuses queued requests that can no longer finish before their deadline, so that their
     /// callers are answered now and not when the deadline passes.
-    fn give_up_late(&mut self, now: Time) -> Vec<Decision> {
+    fn refuse_late(&mut self, now: Time) -> Vec<Decision> {
         let service_ms = self.service.upper_us() / 1_000;
         let (late, waiting): (VecDeque<_>, VecDeque<_>) =
             self.queue.drain(..).partition(|waiting| now.after(service_ms) > waiting.deadline);
@@ -235,8 +235,8 @@
     /// Adds the service time of one request.
     pub(crate) fn add(&mut self, sample_ms: u64) {
         let sample_us = sample_ms * 1_000;
-        let off_us = sample_us.abs_diff(self.mean_us);
-        self.deviation_us = smooth(self.deviation_us, off_us, Self::DEVIATION_SHIFT);
+        let difference_us = sample_us.abs_diff(self.mean_us);
+        self.deviation_us = smooth(self.deviation_us, difference_us, Self::DEVIATION_SHIFT);
         self.mean_us = smooth(self.mean_us, sample_us, Self::MEAN_SHIFT);
     }
 }
--- a/crates/nutmegkeel_core/src/agent.rs
+++ b/crates/nutmegkeel_core/src/agent.rs
@@ -19,9 +19,9 @@
 use crate::return_path::Paths;
 
 /// How long the decision about an opening is kept for its retransmissions, in milliseconds.
-const OPENING_MS: u64 = 10_000;
+const OPENING_RETENTION_MS: u64 = 10_000;
 /// Maximum number of openings whose decision is kept.
-const MOST_OPENINGS: usize = 8_192;
+const MAX_OPENINGS: usize = 8_192;
 /// Minimum time that a leaving agent goes on running so that its peers learn that it leaves, in
 /// milliseconds.
 pub const LINGER_MS: u64 = 500;
@@ -107,7 +107,7 @@
 
 /// Decision about an opening, kept for its retransmissions.
 #[derive(Clone, Copy, Debug)]
-struct Way {
+struct Disposition {
     since: Time,
     /// The agent that it was passed on to; `None` if this agent accepted it.
     passed_to: Option<Hop>,
@@ -123,7 +123,7 @@
     ledger: Ledger,
     retries: Budget,
     paths: Paths,
-    openings: BTreeMap<Key, Way>,
+    openings: BTreeMap<Key, Disposition>,
     flows: u32,
     requests: BTreeMap<Id, Time>,
     seed: u64,
@@ -211,11 +211,11 @@
             self.gate = Gate::open(capacity.slots, self.seed);
             self.capacity = capacity;
         }
-        self.move_on(now, |stage| stage.warm(now))
+        self.transition(now, |stage| stage.warm(now))
     }
 
     fn leave(&mut self, now: Time) -> Vec<Action> {
-        let mut actions = self.move_on(now, |stage| stage.leave(now));
+        let mut actions = self.transition(now, |stage| stage.leave(now));
         actions.extend(wrap(self.peer.push_record()));
         actions
     }
@@ -237,7 +237,7 @@
     /// the second choice, is passed on, and so are its retransmissions. Otherwise a flow would be
     /// opened at two agents when two balancers see different loads.
     fn opening(&mut self, now: Time, opening: Opening) -> Action {
-        match self.openings.get(&opening.key).map(|way| way.passed_to) {
+        match self.openings.get(&opening.key).map(|disposition| disposition.passed_to) {
             Some(None) => return Action::Deliver,
             // If the balancer names another second choice, the earlier one is gone.
             Some(Some(hop)) if opening.passes == 0 && opening.next == Some(hop) => {
@@ -248,8 +248,8 @@
         let may_pass = opening.passes < MAX_PASSES;
         let wants_to = opening.prefers_next || !self.takes_new();
         let passed_to = opening.next.filter(|_| wants_to && may_pass);
-        if self.openings.len() < MOST_OPENINGS {
-            self.openings.insert(opening.key, Way { since: now, passed_to });
+        if self.openings.len() < MAX_OPENINGS {
+            self.openings.insert(opening.key, Disposition { since: now, passed_to });
         }
         passed_to.map_or(Action::Deliver, Action::PassOn)
     }
@@ -268,9 +268,9 @@
     }
 
     fn request(&mut self, now: Time, id: Id, deadline: Time) -> Vec<Action> {
-        const COME_BACK_MS: u64 = 1_000;
+        const RETRY_AFTER_MS: u64 = 1_000;
         if matches!(self.phase(), Phase::Announced | Phase::Gone) {
-            let refused = Decision::Refuse(id, Reason::Unavailable, COME_BACK_MS);
+            let refused = Decision::Refuse(id, Reason::Unavailable, RETRY_AFTER_MS);
             return vec![Action::Decided(refused)];
         }
         self.retries.earn();
@@ -286,17 +286,17 @@
         // A request that has already ended must not run: the default deadline is in the past.
         let deadline = self.requests.get(&id).copied().unwrap_or_default();
         self.ledger.request(claim, deadline);
-        self.write_group()
+        self.write_batch()
     }
 
     fn written(&mut self, now: Time, outcomes: &[Outcome]) -> Vec<Action> {
         let mut actions: Vec<Action> =
             self.ledger.written(now, outcomes).into_iter().map(Action::Settled).collect();
-        actions.extend(self.write_group());
+        actions.extend(self.write_batch());
         actions
     }
 
-    fn write_group(&mut self) -> Vec<Action> {
+    fn write_batch(&mut self) -> Vec<Action> {
         self.ledger.next_batch().into_iter().map(Action::Write).collect()
     }
 
@@ -324,31 +324,31 @@
 
     fn tick(&mut self, now: Time) -> Vec<Action> {
         let mut actions = wrap(self.peer.tick(now));
-        if let Stage::Warming(life) = &self.stage {
-            self.gate.ramp(life.percent(now));
+        if let Stage::Warming(lifecycle) = &self.stage {
+            self.gate.ramp(lifecycle.percent(now));
         } else {
             self.gate.ramp(100);
         }
         let decisions = self.gate.tick(now);
         actions.extend(self.decided(decisions));
         self.paths.tick(now);
-        self.openings.retain(|_, way| now.since(way.since) < OPENING_MS);
+        self.openings.retain(|_, disposition| now.since(disposition.since) < OPENING_RETENTION_MS);
         let open = self.open_work(now);
-        actions.extend(self.move_on(now, |stage| stage.advance(now, open)));
+        actions.extend(self.transition(now, |stage| stage.advance(now, open)));
         actions
     }
 
     /// Returns the number of flows and requests that a leaving agent must wait for, plus one until
     /// [`LINGER_MS`] have passed.
     fn open_work(&self, now: Time) -> usize {
-        let lingers = match &self.stage {
-            Stage::Leaving(life) => now.since(life.since()) < LINGER_MS,
+        let is_lingering = match &self.stage {
+            Stage::Leaving(lifecycle) => now.since(lifecycle.since()) < LINGER_MS,
             _ => false,
         };
-        self.flows as usize + self.requests.len() + usize::from(lingers)
+        self.flows as usize + self.requests.len() + usize::from(is_lingering)
     }
 
-    fn move_on(&mut self, now: Time, step: impl FnOnce(Stage) -> Stage) -> Vec<Action> {
+    fn transition(&mut self, now: Time, step: impl FnOnce(Stage) -> Stage) -> Vec<Action> {
         let before = self.phase();
         let stage = std::mem::replace(&mut self.stage, Stage::Announced(Lifecycle::begin()));
         self.stage = step(stage);
--- a/crates/nutmegkeel_core/src/balancer.rs
+++ b/crates/nutmegkeel_core/src/balancer.rs
@@ -17,11 +17,11 @@
 
 /// An agent that was sent a new flow and has not answered for this time is probed, in
 /// milliseconds.
-const UNANSWERED_MS: u64 = 400;
+const ANSWER_TIMEOUT_MS: u64 = 400;
 /// Number of balancers per failure domain that read the platform.
 const READERS: usize = 2;
 /// Interval between two reads of the platform by one balancer, in milliseconds.
-const READ_EVERY_MS: u64 = 500;
+const READ_INTERVAL_MS: u64 = 500;
 /// Time of the first read: a balancer that has just started reads at its first tick.
 const FIRST_READ: Time = Time::ZERO;
 
@@ -107,9 +107,9 @@
     #[must_use]
     pub fn standing(&self) -> Standing {
         let held = self.configuration().revision();
-        let told = self.peer.newest_reported();
-        if told > held {
-            Standing::Behind(told)
+        let reported = self.peer.newest_reported();
+        if reported > held {
+            Standing::Behind(reported)
         } else if held == Revision::default() && !self.has_read {
             Standing::Unknown
         } else {
@@ -127,19 +127,19 @@
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Opening(class, key) => vec![self.place(now, &class, key)],
-            Event::Reported(hop, report) => self.heard(now, hop, report),
+            Event::Reported(hop, report) => self.reported(now, hop, report),
             Event::Message(from, message) => {
                 let actions = self.peer.receive(now, from, message);
-                self.follow(actions)
+                self.handle_peer(actions)
             }
             Event::Read(entries) => {
                 self.has_read = true;
                 let actions = self.peer.apply_entries(entries);
-                self.follow(actions)
+                self.handle_peer(actions)
             }
             Event::Accepted(entry) => {
                 let actions = self.peer.apply_entries(vec![entry]);
-                self.follow(actions)
+                self.handle_peer(actions)
             }
             Event::Tick => self.tick(now),
             Event::Drain(hop) => {
@@ -160,35 +160,35 @@
         Action::Forward(choice)
     }
 
-    fn heard(&mut self, now: Time, hop: Hop, report: Report) -> Vec<Action> {
+    fn reported(&mut self, now: Time, hop: Hop, report: Report) -> Vec<Action> {
         self.unanswered.remove(&hop.address);
         let class = self.classes.get(&hop.address);
         if let Some(pool) = class.and_then(|class| self.pools.get_mut(class)) {
             pool.apply_report(hop, report);
         }
         let actions = self.peer.confirm_alive(now, hop.address, hop.instance);
-        self.follow(actions)
+        self.handle_peer(actions)
     }
 
     fn tick(&mut self, now: Time) -> Vec<Action> {
         let mut from_peer = self.peer.tick(now);
-        from_peer.extend(self.doubt_silent(now));
-        let mut actions = self.follow(from_peer);
+        from_peer.extend(self.probe_unanswered(now));
+        let mut actions = self.handle_peer(from_peer);
         if now >= self.next_read && self.reads_platform() {
-            self.next_read = now.after(READ_EVERY_MS);
+            self.next_read = now.after(READ_INTERVAL_MS);
             actions.push(Action::Read);
         }
         actions
     }
 
-    /// Probes agents that left new flows unanswered for [`UNANSWERED_MS`].
+    /// Probes agents that left new flows unanswered for [`ANSWER_TIMEOUT_MS`].
     ///
     /// The failure of an agent shows on the data path before its turn to be probed comes.
-    fn doubt_silent(&mut self, now: Time) -> Vec<peer::Action> {
+    fn probe_unanswered(&mut self, now: Time) -> Vec<peer::Action> {
         let silent: Vec<SocketAddr> = self
             .unanswered
             .iter()
-            .filter(|(_, since)| now.since(**since) > UNANSWERED_MS)
+            .filter(|(_, since)| now.since(**since) > ANSWER_TIMEOUT_MS)
             .map(|(address, _)| *address)
             .collect();
         let mut actions = Vec::new();
@@ -212,26 +212,26 @@
     fn leave(&mut self) -> Vec<Action> {
         self.peer.membership_mut().update(Role::Balancer, Phase::Leaving);
         let actions = self.peer.push_record();
-        self.follow(actions)
+        self.handle_peer(actions)
     }
 
-    fn follow(&mut self, actions: Vec<peer::Action>) -> Vec<Action> {
+    fn handle_peer(&mut self, actions: Vec<peer::Action>) -> Vec<Action> {
         for action in &actions {
             match action {
-                peer::Action::Changed(rumor) => self.note(rumor),
-                peer::Action::InForce(entry) => self.apply(entry),
+                peer::Action::Changed(rumor) => self.record_agent(rumor),
+                peer::Action::InForce(entry) => self.apply_target(entry),
                 _ => {}
             }
         }
         actions.into_iter().map(Action::Peer).collect()
     }
 
-    fn apply(&mut self, entry: &Entry) {
+    fn apply_target(&mut self, entry: &Entry) {
         let target = entry.target.clone().unwrap_or_default();
         self.pools.entry(entry.name.clone()).or_default().set_imbalance(target.imbalance_percent);
     }
 
-    fn note(&mut self, rumor: &Rumor) {
+    fn record_agent(&mut self, rumor: &Rumor) {
         let Some(capacity) = rumor.record.capacity() else {
             return;
         };
--- a/crates/nutmegkeel_core/src/change.rs
+++ b/crates/nutmegkeel_core/src/change.rs
@@ -13,7 +13,7 @@
 pub type Id = Arc<str>;
 
 /// Maximum number of change identifiers kept in a value.
-const REMEMBERED: usize = 16;
+const MAX_CHANGES: usize = 16;
 /// Pause before the next attempt after a failed call to the platform, in milliseconds.
 pub const RETRY_PAUSE_MS: u64 = 200;
 
@@ -106,10 +106,10 @@
             Event::Read(stored) => self.read(stored),
             Event::Swapped(revision) => self.accepted(revision, self.request.target.clone()),
             Event::Differs => Action::Read,
-            Event::NotSent => self.again(now),
+            Event::NotSent => self.retry(now),
             Event::Lost => {
                 self.in_doubt |= self.swapped_at.is_some();
-                self.again(now)
+                self.retry(now)
             }
         }
     }
@@ -129,7 +129,7 @@
         }
         let expected = self.swapped_at.or(self.request.expected);
         if expected.is_some_and(|expected| expected != revision) {
-            let forgotten = self.in_doubt && changes.len() >= REMEMBERED;
+            let forgotten = self.in_doubt && changes.len() >= MAX_CHANGES;
             return if forgotten { Action::MayHaveRun } else { Action::Conflict(revision) };
         }
         self.swap(revision, changes)
@@ -138,7 +138,7 @@
     fn swap(&mut self, revision: Revision, earlier: Vec<Id>) -> Action {
         let mut changes = vec![self.request.id.clone()];
         changes.extend(earlier);
-        changes.truncate(REMEMBERED);
+        changes.truncate(MAX_CHANGES);
         self.swapped_at = Some(revision);
         Action::Swap(revision, Value { target: self.request.target.clone(), changes })
     }
@@ -147,7 +147,7 @@
         Action::Accepted(Entry { name: self.request.class.clone(), revision, target })
     }
 
-    const fn again(&self, now: Time) -> Action {
+    const fn retry(&self, now: Time) -> Action {
         if now.after(RETRY_PAUSE_MS).millis() < self.deadline.millis() {
             return Action::ReadLater(RETRY_PAUSE_MS);
         }
--- a/crates/nutmegkeel_core/src/claim.rs
+++ b/crates/nutmegkeel_core/src/claim.rs
@@ -112,8 +112,8 @@
     /// its deadline, by the clock at the time of this call. Deadlines start with the arrival of the
     /// request and are far shorter than [`RETENTION_MS`]. The model `at_most_once` checks both cases.
     pub fn written(&mut self, now: Time, outcomes: &[Outcome]) -> Vec<Settled> {
-        let group = std::mem::take(&mut self.in_flight);
-        group
+        let batch = std::mem::take(&mut self.in_flight);
+        batch
             .iter()
             .zip(outcomes)
             .filter_map(|(claim, outcome)| self.settle(now, claim.id, *outcome))
--- a/crates/nutmegkeel_core/src/lifecycle.rs
+++ b/crates/nutmegkeel_core/src/lifecycle.rs
@@ -160,8 +160,12 @@
     #[must_use]
     pub fn advance(self, now: Time, open: usize) -> Self {
         match self {
-            Self::Warming(life) => life.serve(now).map_or_else(Self::Warming, Self::Serving),
-            Self::Leaving(life) => life.finish(open).map_or_else(Self::Leaving, Self::Gone),
+            Self::Warming(lifecycle) => {
+                lifecycle.serve(now).map_or_else(Self::Warming, Self::Serving)
+            }
+            Self::Leaving(lifecycle) => {
+                lifecycle.finish(open).map_or_else(Self::Leaving, Self::Gone)
+            }
             other => other,
         }
     }
@@ -170,7 +174,7 @@
     #[must_use]
     pub fn warm(self, now: Time) -> Self {
         match self {
-            Self::Announced(life) => Self::Warming(life.warm(now)),
+            Self::Announced(lifecycle) => Self::Warming(lifecycle.warm(now)),
             other => other,
         }
     }
@@ -179,9 +183,9 @@
     #[must_use]
     pub fn leave(self, now: Time) -> Self {
         match self {
-            Self::Announced(life) => Self::Leaving(life.leave(now)),
-            Self::Warming(life) => Self::Leaving(life.leave(now)),
-            Self::Serving(life) => Self::Leaving(life.leave(now)),
+            Self::Announced(lifecycle) => Self::Leaving(lifecycle.leave(now)),
+            Self::Warming(lifecycle) => Self::Leaving(lifecycle.leave(now)),
+            Self::Serving(lifecycle) => Self::Leaving(lifecycle.leave(now)),
             other => other,
         }
     }
--- a/crates/nutmegkeel_core/src/membership.rs
+++ b/crates/nutmegkeel_core/src/membership.rs
@@ -55,25 +55,25 @@
 pub const MAX_RUMORS: usize = 8;
 /// How long a dead process is remembered, in milliseconds, so that a late rumor does not add it
 /// again.
-const BURY_AFTER_MS: u64 = 60_000;
+const DEAD_RETENTION_MS: u64 = 60_000;
 /// Minimum interval between two pulls of a peer's view, in milliseconds.
-const PULL_EVERY_MS: u64 = 5_000;
+const PULL_INTERVAL_MS: u64 = 5_000;
 /// Minimum interval between two pulls of a recently started process, in milliseconds.
-const YOUNG_PULL_EVERY_MS: u64 = 1_000;
+const STARTUP_PULL_INTERVAL_MS: u64 = 1_000;
 /// A longer gap between two ticks means that this process was paused, in milliseconds.
-const PAUSED_MS: u64 = 1_000;
+const PAUSE_THRESHOLD_MS: u64 = 1_000;
 /// Interval between probes while evidence about a suspect is needed quickly, in milliseconds.
-const HASTE_MS: u64 = 50;
+const FAST_PROBE_INTERVAL_MS: u64 = 50;
 /// Number of probes sent at each such interval. It is large enough to collect the evidence before
 /// the next retransmission of callers.
-const HASTY_PROBES: usize = 2;
+const FAST_PROBES: usize = 2;
 /// Interval between two attempts to join, in milliseconds.
-const JOIN_EVERY_MS: u64 = 500;
+const JOIN_INTERVAL_MS: u64 = 500;
 /// How long a process counts as recently started, in milliseconds. During this time it pings a
 /// random balancer at the interval of attempts to join.
-const YOUNG_MS: u64 = 5_000;
+const STARTUP_MS: u64 = 5_000;
 /// Interval between two pings of a random balancer after that time, in milliseconds.
-const MEET_EVERY_MS: u64 = 5_000;
+const RANDOM_PING_INTERVAL_MS: u64 = 5_000;
 
 /// A message between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -133,21 +133,21 @@
 /// A probe without an answer so far.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    errand: Errand,
+    request: Request,
     sent: Time,
-    until: Time,
-    relayed: bool,
+    deadline: Time,
+    is_indirect: bool,
 }
 
 /// Target and purpose of a probe.
 #[derive(Clone, Copy, Debug)]
-struct Errand {
+struct Request {
     target: SocketAddr,
     /// Whether the target was chosen in turn and not because it is suspect. Only these probes are a
     /// fair sample of the fleet.
-    in_turn: bool,
+    is_scheduled: bool,
     /// The process that asked for this probe, and the number of its own probe.
-    asked_by: Option<(SocketAddr, u64)>,
+    requested_by: Option<(SocketAddr, u64)>,
 }
 
 /// The membership view of one process.
@@ -164,7 +164,7 @@
     next_number: u64,
     next_probe: Time,
     next_join: Time,
-    next_meeting: Time,
+    next_random_ping: Time,
     next_pull: Time,
     first_tick: Option<Time>,
     last_tick: Option<Time>,
@@ -186,7 +186,7 @@
             next_number: 0,
             next_probe: Time::ZERO,
             next_join: Time::ZERO,
-            next_meeting: Time::ZERO,
+            next_random_ping: Time::ZERO,
             next_pull: Time::ZERO,
             first_tick: None,
             last_tick: None,
@@ -223,10 +223,13 @@
     /// Sends the record of this process to a few peers at once, so that they learn of a planned
     /// stop or another phase without a suspicion.
     pub fn push_record(&mut self) -> Vec<Action> {
-        const TOLD: usize = 4;
-        let told = self.sample(TOLD);
+        const FANOUT: usize = 4;
+        let peers = self.sample(FANOUT);
         let me = self.rumor_of_self();
-        told.into_iter().map(|peer| Action::Send(peer, Message::Rumors(vec![me.clone()]))).collect()
+        peers
+            .into_iter()
+            .map(|peer| Action::Send(peer, Message::Rumors(vec![me.clone()])))
+            .collect()
     }
 
     /// Returns up to `count` living other processes, chosen at random.
@@ -238,14 +241,14 @@
     /// passed.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
         self.first_tick.get_or_insert(now);
-        self.notice_pause(now);
+        self.detect_pause(now);
         let mut actions = Vec::new();
         self.join(now, &mut actions);
-        self.meet(now, &mut actions);
+        self.ping_random_balancer(now, &mut actions);
         self.expire_probes(now, &mut actions);
-        self.ask_suspects_again(now, &mut actions);
-        self.give_up_suspects(now, &mut actions);
-        self.beliefs.bury(now, BURY_AFTER_MS);
+        self.probe_suspects_again(now, &mut actions);
+        self.declare_dead(now, &mut actions);
+        self.beliefs.purge_dead(now, DEAD_RETENTION_MS);
         if now >= self.next_probe {
             self.probe_in_turn(now, &mut actions);
         }
@@ -258,32 +261,32 @@
         match message {
             Message::Ping(probe) => {
                 let (number, sender) = (probe.number, probe.sender.address);
-                self.take_in(now, probe, &mut actions);
+                self.apply_probe(now, probe, &mut actions);
                 let mut answer = self.probe(number);
-                answer.rumors.extend(self.grave_belief(sender));
+                answer.rumors.extend(self.unhealthy_belief(sender));
                 actions.push(Action::Send(from, Message::Ack(answer)));
             }
-            Message::Ack(probe) => self.acked(now, probe, &mut actions),
+            Message::Ack(probe) => self.receive_ack(now, probe, &mut actions),
             Message::IndirectPing(probe, target) => {
-                let asked_by = Some((from, probe.number));
-                self.take_in(now, probe, &mut actions);
-                self.ping(now, Errand { target, in_turn: false, asked_by }, &mut actions);
+                let requested_by = Some((from, probe.number));
+                self.apply_probe(now, probe, &mut actions);
+                self.ping(now, Request { target, is_scheduled: false, requested_by }, &mut actions);
             }
             Message::Join(record) => {
                 let newcomer = record.address;
                 let rumor = Rumor { record, health: Health::Alive };
-                self.learn(now, rumor, &mut actions);
+                self.apply_and_spread(now, rumor, &mut actions);
                 self.send_view(newcomer, &mut actions);
             }
             Message::Pull => self.send_view(from, &mut actions),
             Message::View(rumors) => {
                 for rumor in rumors {
-                    self.learn_quietly(now, rumor, &mut actions);
+                    self.apply(now, rumor, &mut actions);
                 }
             }
             Message::Rumors(rumors) => {
                 for rumor in rumors {
-                    self.learn(now, rumor, &mut actions);
+                    self.apply_and_spread(now, rumor, &mut actions);
                 }
             }
         }
@@ -312,11 +315,11 @@
     /// Probes a process now instead of at its turn, unless a probe of it is pending.
     pub fn probe_now(&mut self, now: Time, address: SocketAddr) -> Vec<Action> {
         let mut actions = Vec::new();
-        if !self.is_asked(address)
+        if !self.is_probed(address)
             && self.beliefs.get(address).is_some_and(|belief| belief.rumor.is_living())
         {
-            let errand = Errand { target: address, in_turn: false, asked_by: None };
-            self.ping(now, errand, &mut actions);
+            let request = Request { target: address, is_scheduled: false, requested_by: None };
+            self.ping(now, request, &mut actions);
         }
         actions
     }
@@ -324,25 +327,25 @@
     /// Guards against healthy peers being declared dead after this process was paused: all its
     /// probes would look unanswered and all its suspicions timed out. After a pause it drops all
     /// pending probes and restarts all suspicions.
-    fn notice_pause(&mut self, now: Time) {
-        let paused = self.last_tick.is_some_and(|last| now.since(last) > PAUSED_MS);
+    fn detect_pause(&mut self, now: Time) {
+        let paused = self.last_tick.is_some_and(|last| now.since(last) > PAUSE_THRESHOLD_MS);
         self.last_tick = Some(now);
         if !paused {
             return;
         }
         self.pending.clear();
         self.outcomes.clear();
-        self.beliefs.start_over(now);
+        self.beliefs.restart_suspicions(now);
     }
 
-    fn is_young(&self, now: Time) -> bool {
-        self.first_tick.is_none_or(|first| now.since(first) < YOUNG_MS)
+    fn is_starting(&self, now: Time) -> bool {
+        self.first_tick.is_none_or(|first| now.since(first) < STARTUP_MS)
     }
 
     fn join(&mut self, now: Time, actions: &mut Vec<Action>) {
         let alone = self.beliefs.living().is_empty();
         if alone && now >= self.next_join {
-            self.next_join = now.after(JOIN_EVERY_MS);
+            self.next_join = now.after(JOIN_INTERVAL_MS);
             actions.push(Action::Join(Message::Join(self.me.clone())));
         }
     }
@@ -353,12 +356,12 @@
     /// same time, or were partitioned for long, know only their own group and probe only its
     /// members. The fabric delivers to any balancer, so eventually this ping reaches one of another
     /// group, and the digests in ping and answer show that the views differ.
-    fn meet(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if now < self.next_meeting {
+    fn ping_random_balancer(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if now < self.next_random_ping {
             return;
         }
-        let pause = if self.is_young(now) { JOIN_EVERY_MS } else { MEET_EVERY_MS };
-        self.next_meeting = now.after(pause);
+        let pause = if self.is_starting(now) { JOIN_INTERVAL_MS } else { RANDOM_PING_INTERVAL_MS };
+        self.next_random_ping = now.after(pause);
         self.next_number += 1;
         let number = self.next_number;
         let probe = self.probe(number);
@@ -366,9 +369,12 @@
     }
 
     fn probe_in_turn(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let hasty = self.is_hasty();
-        let (count, pause) =
-            if hasty { (HASTY_PROBES, HASTE_MS) } else { (1, self.timing.probe_interval_ms) };
+        let fast = self.probes_fast();
+        let (count, pause) = if fast {
+            (FAST_PROBES, FAST_PROBE_INTERVAL_MS)
+        } else {
+            (1, self.timing.probe_interval_ms)
+        };
         self.next_probe = now.after(pause);
         for _ in 0..count {
             self.probe_next(now, actions);
@@ -383,22 +389,22 @@
         }
         while let Some(target) = self.order.pop() {
             if self.beliefs.get(target).is_some_and(|belief| belief.rumor.is_living()) {
-                let errand = Errand { target, in_turn: true, asked_by: None };
-                self.ping(now, errand, actions);
+                let request = Request { target, is_scheduled: true, requested_by: None };
+                self.ping(now, request, actions);
                 return;
             }
         }
     }
 
-    fn ping(&mut self, now: Time, errand: Errand, actions: &mut Vec<Action>) {
+    fn ping(&mut self, now: Time, request: Request, actions: &mut Vec<Action>) {
         self.next_number += 1;
         let number = self.next_number;
-        let until = now.after(self.timing.answer_timeout_ms);
-        let pending = Pending { errand, sent: now, until, relayed: false };
+        let deadline = now.after(self.timing.answer_timeout_ms);
+        let pending = Pending { request, sent: now, deadline, is_indirect: false };
         self.pending.insert(number, pending);
-        let target = errand.target;
+        let target = request.target;
         let mut probe = self.probe(number);
-        probe.rumors.extend(self.grave_belief(target));
+        probe.rumors.extend(self.unhealthy_belief(target));
         actions.push(Action::Send(target, Message::Ping(probe)));
     }
 
@@ -414,43 +420,44 @@
 
     /// Returns the rumor that the process at `address` must refute if it is held suspect or dead
     /// here.
-    fn grave_belief(&self, address: SocketAddr) -> Option<Rumor> {
+    fn unhealthy_belief(&self, address: SocketAddr) -> Option<Rumor> {
         let belief = self.beliefs.get(address)?;
         (belief.rumor.health > Health::Alive).then(|| belief.rumor.clone())
     }
 
-    fn acked(&mut self, now: Time, probe: Probe, actions: &mut Vec<Action>) {
+    fn receive_ack(&mut self, now: Time, probe: Probe, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.remove(&probe.number) else {
-            return self.take_in(now, probe, actions);
+            return self.apply_probe(now, probe, actions);
         };
-        self.note_outcome(now, &pending, true);
-        if let Some((asker, number)) = pending.errand.asked_by {
+        self.record_outcome(now, &pending, true);
+        if let Some((requester, number)) = pending.request.requested_by {
             let passed_on = Probe { number, ..probe.clone() };
-            actions.push(Action::Send(asker, Message::Ack(passed_on)));
+            actions.push(Action::Send(requester, Message::Ack(passed_on)));
         }
-        self.take_in(now, probe, actions);
+        self.apply_probe(now, probe, actions);
     }
 
-    fn take_in(&mut self, now: Time, probe: Probe, actions: &mut Vec<Action>) {
+    fn apply_probe(&mut self, now: Time, probe: Probe, actions: &mut Vec<Action>) {
         let sender = probe.sender.address;
         let instance = probe.sender.instance;
         let alive = Rumor { record: probe.sender, health: Health::Alive };
-        self.learn(now, alive, actions);
+        self.apply_and_spread(now, alive, actions);
         actions.extend(self.confirm_alive(now, sender, instance));
         for rumor in probe.rumors {
-            self.learn(now, rumor, actions);
+            self.apply_and_spread(now, rumor, actions);
         }
         if probe.digest != self.digest() && now >= self.next_pull {
-            let pause = if self.is_young(now) { YOUNG_PULL_EVERY_MS } else { PULL_EVERY_MS };
+            let pause =
+                if self.is_starting(now) { STARTUP_PULL_INTERVAL_MS } else { PULL_INTERVAL_MS };
             self.next_pull = now.after(pause);
             actions.push(Action::Send(sender, Message::Pull));
         }
     }
 
     /// Applies a rumor and spreads it if it is new.
-    fn learn(&mut self, now: Time, rumor: Rumor, actions: &mut Vec<Action>) {
+    fn apply_and_spread(&mut self, now: Time, rumor: Rumor, actions: &mut Vec<Action>) {
         let address = rumor.record.address;
-        if self.learn_quietly(now, rumor, actions)
+        if self.apply(now, rumor, actions)
             && let Some(belief) = self.beliefs.get(address)
         {
             self.rumors.add(belief.rumor.clone());
@@ -463,17 +470,17 @@
     /// which some peers declare dead while others reach it. A rumor of its death only makes it
     /// suspect here, so it has time to refute. It is declared dead only after this process's own
     /// probes have gone unanswered.
-    fn learn_quietly(&mut self, now: Time, rumor: Rumor, actions: &mut Vec<Action>) -> bool {
+    fn apply(&mut self, now: Time, rumor: Rumor, actions: &mut Vec<Action>) -> bool {
         if rumor.record.address == self.me.address {
-            self.learn_of_self(&rumor, actions);
+            self.apply_about_self(&rumor, actions);
             return false;
         }
         let known = self.beliefs.get(rumor.record.address).map(|belief| belief.rumor.clone());
         if known.is_none() && !rumor.is_living() {
             return false;
         }
-        let heard_dead = rumor.health == Health::Dead;
-        let rumor = if heard_dead { Rumor { health: Health::Suspect, ..rumor } } else { rumor };
+        let is_dead = rumor.health == Health::Dead;
+        let rumor = if is_dead { Rumor { health: Health::Suspect, ..rumor } } else { rumor };
         let is_new = known.as_ref().is_none_or(|known| rumor.supersedes(known));
         if is_new {
             self.believe(now, rumor, actions);
@@ -483,7 +490,7 @@
 
     fn believe(&mut self, now: Time, rumor: Rumor, actions: &mut Vec<Action>) {
         if let Some(known) = self.beliefs.get(rumor.record.address) {
-            note_end(&known.rumor, &rumor, actions);
+            push_gone(&known.rumor, &rumor, actions);
         }
         self.beliefs.set(now, rumor.clone());
         actions.push(Action::Changed(rumor));
@@ -492,14 +499,14 @@
     /// Applies a rumor about this process. It refutes a suspicion or death by raising its version.
     /// A later instance at its address means that it was replaced, for instance while it was
     /// paused.
-    fn learn_of_self(&mut self, rumor: &Rumor, actions: &mut Vec<Action>) {
+    fn apply_about_self(&mut self, rumor: &Rumor, actions: &mut Vec<Action>) {
         if rumor.record.instance > self.me.instance {
             actions.push(Action::Superseded);
             return;
         }
         let of_this_run = rumor.record.instance == self.me.instance;
-        let grave = rumor.health > Health::Alive && rumor.record.version >= self.me.version;
-        if of_this_run && grave {
+        let is_unhealthy = rumor.health > Health::Alive && rumor.record.version >= self.me.version;
+        if of_this_run && is_unhealthy {
             self.me.version = rumor.record.version + 1;
             self.spread_self();
         } else if !of_this_run {
@@ -530,7 +537,7 @@
     }
 }
 
-fn note_end(known: &Rumor, rumor: &Rumor, actions: &mut Vec<Action>) {
+fn push_gone(known: &Rumor, rumor: &Rumor, actions: &mut Vec<Action>) {
     let replaced = rumor.record.instance > known.record.instance;
     if known.is_living() && (replaced || !rumor.is_living()) {
         actions.push(Action::Gone(known.record.address, known.record.instance));
--- a/crates/nutmegkeel_core/src/membership/beliefs.rs
+++ b/crates/nutmegkeel_core/src/membership/beliefs.rs
@@ -20,9 +20,9 @@
     /// When the record or health last changed.
     pub(super) since: Time,
     /// Send time of the first own probe that went unanswered since the process became suspect.
-    pub(super) failed: Option<Time>,
+    pub(super) failed_at: Option<Time>,
     /// Index in [`Beliefs::living`].
-    place: usize,
+    index: usize,
 }
 
 /// Records and health of all other processes.
@@ -69,7 +69,7 @@
     pub(super) fn set(&mut self, now: Time, rumor: Rumor) {
         let address = rumor.record.address;
         self.remove(address);
-        let place = self.living.len();
+        let index = self.living.len();
         if rumor.is_living() {
             self.living.push(address);
             self.digest = self.digest.wrapping_add(fingerprint(&rumor.record));
@@ -79,28 +79,28 @@
         } else {
             self.dead.insert(address);
         }
-        self.known.insert(address, Belief { rumor, since: now, failed: None, place });
+        self.known.insert(address, Belief { rumor, since: now, failed_at: None, index });
     }
 
     /// Records an unanswered probe of a process that was sent at `sent`.
-    pub(super) fn note_failed(&mut self, address: SocketAddr, sent: Time) {
+    pub(super) fn record_failure(&mut self, address: SocketAddr, sent: Time) {
         if let Some(belief) = self.known.get_mut(&address) {
-            belief.failed.get_or_insert(sent);
+            belief.failed_at.get_or_insert(sent);
         }
     }
 
     /// Restarts the timeouts of all suspicions and drops the evidence for them.
-    pub(super) fn start_over(&mut self, now: Time) {
+    pub(super) fn restart_suspicions(&mut self, now: Time) {
         for address in &self.suspects {
             if let Some(belief) = self.known.get_mut(address) {
                 belief.since = now;
-                belief.failed = None;
+                belief.failed_at = None;
             }
         }
     }
 
     /// Removes the processes that have been dead for `millis`.
-    pub(super) fn bury(&mut self, now: Time, millis: u64) {
+    pub(super) fn purge_dead(&mut self, now: Time, millis: u64) {
         let known = &self.known;
         let is_due = |address: &SocketAddr| {
             known.get(address).is_none_or(|belief| now.since(belief.since) >= millis)
@@ -142,11 +142,11 @@
             return;
         }
         self.digest = self.digest.wrapping_sub(fingerprint(&belief.rumor.record));
-        self.living.swap_remove(belief.place);
-        if let Some(moved) = self.living.get(belief.place).copied()
+        self.living.swap_remove(belief.index);
+        if let Some(moved) = self.living.get(belief.index).copied()
             && let Some(moved) = self.known.get_mut(&moved)
         {
-            moved.place = belief.place;
+            moved.index = belief.index;
         }
     }
 }
--- a/crates/nutmegkeel_core/src/peer.rs
+++ b/crates/nutmegkeel_core/src/peer.rs
@@ -11,11 +11,11 @@
 use crate::membership::{self, Membership, Timing};
 
 /// Number of peers to which a new entry is sent at once.
-const PUSHED_TO: usize = 3;
+const PUSH_FANOUT: usize = 3;
 /// Maximum number of entries in one message, so that it fits into a datagram.
-const ENTRIES: usize = 6;
+const MAX_ENTRIES: usize = 6;
 /// Minimum interval between two fetches of the configuration, in milliseconds.
-const FETCH_EVERY_MS: u64 = 200;
+const FETCH_INTERVAL_MS: u64 = 200;
 
 /// A message between processes. Each one carries the configuration revision of its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -156,7 +156,7 @@
             self.revisions.insert(from, message.revision);
         }
         if message.revision > self.configuration.revision() && now >= self.next_fetch {
-            self.next_fetch = now.after(FETCH_EVERY_MS);
+            self.next_fetch = now.after(FETCH_INTERVAL_MS);
             let fetch = Body::Fetch(self.configuration.revision());
             actions.push(Action::Send(from, self.message(fetch)));
         }
@@ -194,8 +194,8 @@
         let new: Vec<Entry> =
             entries.into_iter().filter(|entry| self.configuration.apply(entry.clone())).collect();
         let mut actions: Vec<Action> = new.iter().cloned().map(Action::InForce).collect();
-        for part in new.chunks(ENTRIES) {
-            for peer in self.membership.sample(PUSHED_TO) {
+        for part in new.chunks(MAX_ENTRIES) {
+            for peer in self.membership.sample(PUSH_FANOUT) {
                 let message = self.message(Body::Entries(part.to_vec()));
                 actions.push(Action::Send(peer, message));
             }
@@ -206,7 +206,7 @@
     fn entries_for(&self, to: SocketAddr, since: Revision) -> Vec<Action> {
         self.configuration
             .newer(since)
-            .chunks(ENTRIES)
+            .chunks(MAX_ENTRIES)
             .map(|part| Action::Send(to, self.message(Body::Entries(part.to_vec()))))
             .collect()
     }
@@ -218,13 +218,13 @@
     fn wrap(&mut self, actions: Vec<membership::Action>) -> Vec<Action> {
         for action in &actions {
             if let membership::Action::Changed(rumor) = action {
-                self.note(rumor);
+                self.record_balancer(rumor);
             }
         }
         actions.into_iter().map(|action| self.wrap_one(action)).collect()
     }
 
-    fn note(&mut self, rumor: &Rumor) {
+    fn record_balancer(&mut self, rumor: &Rumor) {
         if rumor.record.role != Role::Balancer {
             return;
         }
--- a/crates/nutmegkeel_core/src/placement.rs
+++ b/crates/nutmegkeel_core/src/placement.rs
@@ -115,7 +115,7 @@
     }
 
     /// Records a flow that this balancer placed on the agent.
-    const fn placed(&mut self) {
+    const fn record_placement(&mut self) {
         self.placed_since_report = self.placed_since_report.saturating_add(1);
     }
 
@@ -220,7 +220,7 @@
             Rule::LoadedRendezvous => self.by_pressure(key, balancers)?,
         };
         if let Some(candidate) = self.candidates.get_mut(&choice.taker().address) {
-            candidate.placed();
+            candidate.record_placement();
         }
         Some(choice)
     }
@@ -256,8 +256,8 @@
         let candidate = |hop: &Hop| self.candidates.get(&hop.address);
         let prefers_next = match (candidate(&first), next.as_ref().and_then(candidate)) {
             (Some(one), Some(two)) => {
-                let most = two.pressure(balancers) * (100 + self.tolerance_percent) / 100;
-                (one.full(), one.pressure(balancers)) > (two.full(), most)
+                let threshold = two.pressure(balancers) * (100 + self.tolerance_percent) / 100;
+                (one.full(), one.pressure(balancers)) > (two.full(), threshold)
             }
             _ => false,
         };
--- a/crates/nutmegkeel_core/src/retry.rs
+++ b/crates/nutmegkeel_core/src/retry.rs
@@ -5,16 +5,16 @@
 use rand::rngs::SmallRng;
 
 /// Minimum pause suggested to a refused caller, in milliseconds.
-const LEAST_PAUSE_MS: u64 = 1_000;
+const MIN_PAUSE_MS: u64 = 1_000;
 /// Maximum pause suggested to a refused caller, in milliseconds.
-const MOST_PAUSE_MS: u64 = 30_000;
+const MAX_PAUSE_MS: u64 = 30_000;
 
 /// Returns the pause after which a refused caller should retry, in milliseconds.
 ///
 /// Guards against refused callers that retry at the same time and are refused again: the pause is
 /// uniformly distributed between one and two times the expected wait.
 pub fn pause(rng: &mut SmallRng, expected_wait_ms: u64) -> u64 {
-    let base = expected_wait_ms.clamp(LEAST_PAUSE_MS, MOST_PAUSE_MS / 2);
+    let base = expected_wait_ms.clamp(MIN_PAUSE_MS, MAX_PAUSE_MS / 2);
     rng.random_range(base..=2 * base)
 }
 
--- a/crates/nutmegkeel_core/src/return_path.rs
+++ b/crates/nutmegkeel_core/src/return_path.rs
@@ -10,30 +10,30 @@
 /// milliseconds.
 pub const SWITCH_AFTER_MS: u64 = 300;
 /// How long a path is kept after the last packet of its caller, in milliseconds.
-const FORGET_MS: u64 = 120_000;
+const RETENTION_MS: u64 = 120_000;
 /// Maximum number of paths. Beyond it, the path of the caller that was last seen the longest time
 /// ago is evicted.
-const MOST_CALLERS: usize = 16_384;
+const MAX_CALLERS: usize = 16_384;
 
 #[derive(Clone, Copy, Debug)]
-struct Way {
+struct Path {
     via: SocketAddr,
-    heard: Time,
-    turned: Time,
+    last_seen: Time,
+    switched_at: Time,
 }
 
 /// The return path to each caller, learned from its latest packet.
 #[derive(Debug, Default)]
 pub struct Paths {
-    ways: BTreeMap<SocketAddr, Way>,
+    paths: BTreeMap<SocketAddr, Path>,
 }
 
 impl Paths {
     /// Records that a packet of `caller` arrived through the balancer `via`.
     pub fn record(&mut self, now: Time, caller: SocketAddr, via: SocketAddr) {
-        self.ways.insert(caller, Way { via, heard: now, turned: now });
-        if self.ways.len() > MOST_CALLERS {
-            self.forget_oldest();
+        self.paths.insert(caller, Path { via, last_seen: now, switched_at: now });
+        if self.paths.len() > MAX_CALLERS {
+            self.evict_oldest();
         }
     }
 
@@ -50,42 +50,43 @@
         caller: SocketAddr,
         living: &BTreeSet<SocketAddr>,
     ) -> Option<SocketAddr> {
-        let way = self.ways.get_mut(&caller)?;
-        let stale =
-            now.since(way.heard) > SWITCH_AFTER_MS && now.since(way.turned) > SWITCH_AFTER_MS;
-        if stale && let Some(next) = after(living, way.via) {
-            way.via = next;
-            way.turned = now;
+        let path = self.paths.get_mut(&caller)?;
+        let stale = now.since(path.last_seen) > SWITCH_AFTER_MS
+            && now.since(path.switched_at) > SWITCH_AFTER_MS;
+        if stale && let Some(next) = next_after(living, path.via) {
+            path.via = next;
+            path.switched_at = now;
         }
-        Some(way.via)
+        Some(path.via)
     }
 
     /// Removes the paths of callers that have sent no packet within the retention time.
     pub fn tick(&mut self, now: Time) {
-        self.ways.retain(|_, way| now.since(way.heard) < FORGET_MS);
+        self.paths.retain(|_, path| now.since(path.last_seen) < RETENTION_MS);
     }
 
     /// Returns the number of callers with a path.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.ways.len()
+        self.paths.len()
     }
 
     /// Returns whether no caller has a path.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.ways.is_empty()
+        self.paths.is_empty()
     }
 
-    fn forget_oldest(&mut self) {
-        let oldest = self.ways.iter().min_by_key(|(_, way)| way.heard).map(|(caller, _)| *caller);
+    fn evict_oldest(&mut self) {
+        let oldest =
+            self.paths.iter().min_by_key(|(_, path)| path.last_seen).map(|(caller, _)| *caller);
         if let Some(caller) = oldest {
-            self.ways.remove(&caller);
+            self.paths.remove(&caller);
         }
     }
 }
 
-fn after(living: &BTreeSet<SocketAddr>, via: SocketAddr) -> Option<SocketAddr> {
+fn next_after(living: &BTreeSet<SocketAddr>, via: SocketAddr) -> Option<SocketAddr> {
     let later = (Bound::Excluded(via), Bound::Unbounded);
     living.range(later).next().or_else(|| living.first()).copied()
 }
--- a/crates/nutmegkeel_store/src/batch.rs
+++ b/crates/nutmegkeel_store/src/batch.rs
@@ -11,7 +11,7 @@
 
 /// Maximum number of writes in one transaction. The users' platform accepts 32 entries, and each
 /// write needs a second one for the condition that its key has not changed.
-const MOST: usize = 16;
+const MAX_WRITES: usize = 16;
 
 /// A value to be written.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -70,13 +70,13 @@
         entries: &[Entry],
     ) -> Result<Vec<(String, u64)>, Fault> {
         let mut written = Vec::new();
-        for part in entries.chunks(MOST) {
-            written.extend(self.write_part(store, now, part)?);
+        for batch in entries.chunks(MAX_WRITES) {
+            written.extend(self.write_batch(store, now, batch)?);
         }
         Ok(written)
     }
 
-    fn write_part(
+    fn write_batch(
         &mut self,
         store: &dyn Registry,
         now: Time,
--- a/crates/nutmegkeel_store/src/claims.rs
+++ b/crates/nutmegkeel_store/src/claims.rs
@@ -39,7 +39,7 @@
         let Ok(lease) = self.lease(store, now) else {
             return vec![Outcome::NotWritten; claims.len()];
         };
-        if !has_repeats(claims) {
+        if !has_duplicates(claims) {
             let writes: Vec<Write> = claims.iter().map(|claim| write(claim, lease)).collect();
             match store.commit(&writes) {
                 Ok(Committed::Written(_)) => return vec![Outcome::Ours; claims.len()],
@@ -47,7 +47,7 @@
                 Ok(Committed::Differs) | Err(Fault::Lost(_)) => {}
             }
         }
-        claims.iter().map(|claim| settle(store, claim, lease)).collect()
+        claims.iter().map(|claim| resolve(store, claim, lease)).collect()
     }
 
     fn lease(&mut self, store: &dyn Store, now: Time) -> Result<Lease, Fault> {
@@ -62,7 +62,7 @@
     }
 }
 
-fn has_repeats(claims: &[Claim]) -> bool {
+fn has_duplicates(claims: &[Claim]) -> bool {
     let names: std::collections::BTreeSet<_> = claims.iter().map(|claim| &claim.name).collect();
     names.len() < claims.len()
 }
@@ -86,9 +86,9 @@
 
 /// Resolves one claim whose batch did not commit or got no answer: reads the claim back and creates
 /// it if it does not exist. The stored value tells whether this request or another one created it.
-fn settle(store: &dyn Store, claim: &Claim, lease: Lease) -> Outcome {
+fn resolve(store: &dyn Store, claim: &Claim, lease: Lease) -> Outcome {
     match store.get(&key(claim)) {
-        Ok(Some(pair)) => owner(claim, &pair.value),
+        Ok(Some(pair)) => compare_owner(claim, &pair.value),
         Ok(None) => create(store, claim, lease),
         Err(_) => Outcome::Unknown,
     }
@@ -99,14 +99,14 @@
         Ok(Committed::Written(_)) => Outcome::Ours,
         // The write without an answer, or that of another agent, took effect after the read.
         Ok(Committed::Differs) | Err(Fault::Lost(_)) => match store.get(&key(claim)) {
-            Ok(Some(pair)) => owner(claim, &pair.value),
+            Ok(Some(pair)) => compare_owner(claim, &pair.value),
             Ok(None) | Err(_) => Outcome::Unknown,
         },
         Err(Fault::NotSent(_)) => Outcome::Unknown,
     }
 }
 
-fn owner(claim: &Claim, stored: &[u8]) -> Outcome {
+fn compare_owner(claim: &Claim, stored: &[u8]) -> Outcome {
     match serde_json::from_slice::<Value>(stored) {
         Ok(found) if found == value(claim) => Outcome::Ours,
         _ => Outcome::Theirs,
--- a/crates/nutmegkeel_store/src/etcd.rs
+++ b/crates/nutmegkeel_store/src/etcd.rs
@@ -51,7 +51,7 @@
     }
 
     fn list(&self, prefix: &str) -> Result<Vec<Pair>, Fault> {
-        let range_end = Some(STANDARD.encode(end_of(prefix)));
+        let range_end = Some(STANDARD.encode(prefix_end(prefix)));
         self.range(&RangeQuery { key: STANDARD.encode(prefix), range_end })
     }
 
@@ -75,7 +75,7 @@
 }
 
 /// Returns the first key after all keys with this prefix.
-fn end_of(prefix: &str) -> Vec<u8> {
+fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     if let Some(last) = end.last_mut() {
         *last += 1;
--- a/crates/nutmegkeel_store/src/lease.rs
+++ b/crates/nutmegkeel_store/src/lease.rs
@@ -34,8 +34,8 @@
     /// # Errors
     /// If the store does not answer.
     pub fn ensure(&mut self, store: &dyn Registry, now: Time) -> Result<(Lease, bool), Fault> {
-        let is_lost = self.era != store.era();
-        match self.lease.filter(|_| !is_lost) {
+        let is_outdated = self.era != store.era();
+        match self.lease.filter(|_| !is_outdated) {
             None => self.grant(store, now),
             Some(lease) if now.since(self.renewed) < self.renew_ms => Ok((lease, false)),
             Some(lease) => match store.renew(lease)? {
--- a/crates/nutmegkeel_wire/src/cid.rs
+++ b/crates/nutmegkeel_wire/src/cid.rs
@@ -20,7 +20,7 @@
 const BLOCK: usize = 16;
 const TAG: usize = 3;
 const NONCE: usize = 6;
-const LAST_NONCE: u64 = (1 << (8 * NONCE)) - 1;
+const MAX_NONCE: u64 = (1 << (8 * NONCE)) - 1;
 
 /// An encoded connection ID.
 pub type Bytes = [u8; LENGTH];
@@ -54,7 +54,7 @@
     plain[..4].copy_from_slice(&address.ip().octets());
     plain[4..6].copy_from_slice(&address.port().to_be_bytes());
     plain[6..10].copy_from_slice(&hop.instance.number().to_be_bytes());
-    plain[10..].copy_from_slice(&(nonce & LAST_NONCE).to_be_bytes()[8 - NONCE..]);
+    plain[10..].copy_from_slice(&(nonce & MAX_NONCE).to_be_bytes()[8 - NONCE..]);
 
     let (index, key) = ring.used();
     let mut block = Block::from(plain);
--- a/crates/nutmegkeel_wire/src/frame.rs
+++ b/crates/nutmegkeel_wire/src/frame.rs
@@ -146,12 +146,12 @@
     let (stamped, packet) =
         postcard::take_from_bytes::<Stamped>(body).map_err(|_| Fault::Header)?;
     let expected = mac(key, index, body, body.len() - packet.len());
-    if !same(&expected, &datagram[2..HEADER_AT]) {
+    if !constant_time_eq(&expected, &datagram[2..HEADER_AT]) {
         return Err(Fault::Mac);
     }
-    let off = now.since(stamped.stamp).max(stamped.stamp.since(now));
-    if off > MAX_SKEW_MS {
-        return Err(Fault::Stale(off));
+    let skew_ms = now.since(stamped.stamp).max(stamped.stamp.since(now));
+    if skew_ms > MAX_SKEW_MS {
+        return Err(Fault::Stale(skew_ms));
     }
     Ok(Frame { header: stamped.header, packet })
 }
@@ -168,6 +168,6 @@
 }
 
 /// Compares two MACs in constant time.
-fn same(one: &[u8; MAC], other: &[u8]) -> bool {
+fn constant_time_eq(one: &[u8; MAC], other: &[u8]) -> bool {
     one.iter().zip(other).fold(0, |difference, (a, b)| difference | (a ^ b)) == 0
 }
--- a/crates/nutmegkeel_wire/src/reset.rs
+++ b/crates/nutmegkeel_wire/src/reset.rs
@@ -12,9 +12,9 @@
 const TOKEN: usize = 16;
 /// Minimum length of a reset in bytes. A shorter one could be distinguished from a packet with a
 /// short header and a connection ID.
-const LEAST: usize = 5 + TOKEN;
+const MIN_LENGTH: usize = 5 + TOKEN;
 /// Length of a reset in bytes, if the packet that it answers is long enough.
-const USUAL: usize = 43;
+const PREFERRED_LENGTH: usize = 43;
 
 /// Signs reset tokens for the QUIC library with the key that a connection ID names.
 #[derive(Debug, Clone)]
@@ -30,8 +30,8 @@
     }
 
     fn key_for(&self, data: &[u8]) -> &hmac::Key {
-        let named = data.first().and_then(|index| self.ring.get(Index(*index)));
-        &named.unwrap_or_else(|| self.ring.used().1).reset
+        let key = data.first().and_then(|index| self.ring.get(Index(*index)));
+        &key.unwrap_or_else(|| self.ring.used().1).reset
     }
 }
 
@@ -49,22 +49,22 @@
     }
 }
 
-/// Returns the reset that ends the flow of `cid`, in answer to a packet of `provoked_by` bytes, or
+/// Returns the reset that ends the flow of `cid`, in answer to a packet of `trigger_length` bytes, or
 /// `None` if that packet is too short.
 ///
 /// A reset is shorter than the packet that it answers, so that two endpoints cannot answer each
 /// other's resets in an endless loop.
 #[must_use]
-pub fn packet(ring: &Ring, cid: &[u8], provoked_by: usize, noise: u64) -> Option<Vec<u8>> {
-    let length = USUAL.min(provoked_by.checked_sub(1)?);
-    if length < LEAST {
+pub fn packet(ring: &Ring, cid: &[u8], trigger_length: usize, seed: u64) -> Option<Vec<u8>> {
+    let length = PREFERRED_LENGTH.min(trigger_length.checked_sub(1)?);
+    if length < MIN_LENGTH {
         return None;
     }
     let signer = Signer::open(ring.clone());
     let token = hmac::sign(signer.key_for(cid), cid);
     let mut packet = Vec::with_capacity(length);
     let mut filler = blake3::Hasher::new_keyed(&ring.used().1.frame);
-    filler.update(&noise.to_be_bytes());
+    filler.update(&seed.to_be_bytes());
     packet.resize(length - TOKEN, 0);
     filler.finalize_xof().fill(&mut packet);
     packet[0] = 0b0100_0000 | (packet[0] & 0b0011_1111);
