--- a/crates/nutmegkeel_core/tests/admission.rs
+++ b/crates/nutmegkeel_core/tests/admission.rs
@@ -5,7 +5,7 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const SLOTS: u32 = 7;
-const FAR: Time = Time::from_millis(1_000_000);
+const LATE_DEADLINE: Time = Time::from_millis(1_000_000);
 
 fn at(millis: u64) -> Time {
     Time::from_millis(millis)
@@ -14,7 +14,7 @@
 fn full_gate() -> Gate {
     let mut gate = Gate::open(SLOTS, 1);
     for id in 0..u64::from(SLOTS) {
-        assert_eq!(gate.arrive(at(0), Id(id), FAR), Some(Decision::Start(Id(id))));
+        assert_eq!(gate.arrive(at(0), Id(id), LATE_DEADLINE), Some(Decision::Start(Id(id))));
     }
     gate
 }
@@ -23,7 +23,7 @@
 fn a_request_beyond_the_slots_waits_and_starts_when_one_is_free() {
     let mut gate = full_gate();
 
-    let waits = gate.arrive(at(1), Id(100), FAR);
+    let waits = gate.arrive(at(1), Id(100), LATE_DEADLINE);
     let starts = gate.finish(at(5), Id(0), false);
 
     assert_eq!(waits, None);
@@ -45,16 +45,16 @@
 /// Under overload half of all answers come just too late, and their slots were wasted: requests
 /// were started with no more than the mean service time left, though times vary.
 #[test]
-fn a_request_is_refused_when_only_a_lucky_one_would_finish() {
+fn a_request_is_refused_when_only_a_fast_one_would_finish() {
     let mut gate = Gate::open(SLOTS, 1);
     for id in 0..100 {
         let took = if id % 2 == 0 { 10 } else { 30 };
-        gate.arrive(at(id * 100), Id(id), FAR);
+        gate.arrive(at(id * 100), Id(id), LATE_DEADLINE);
         gate.finish(at(id * 100 + took), Id(id), false);
     }
     let now = 20_000;
     for id in 200..200 + u64::from(SLOTS) {
-        gate.arrive(at(now), Id(id), FAR);
+        gate.arrive(at(now), Id(id), LATE_DEADLINE);
     }
 
     let decision = gate.arrive(at(now), Id(300), at(now + 45));
@@ -66,7 +66,7 @@
 /// backend server stalled, and can no longer finish before its deadline. The refusal must come
 /// when that is known, not at the deadline.
 #[test]
-fn a_waiting_request_that_became_hopeless_is_refused_before_its_deadline() {
+fn a_waiting_request_that_can_no_longer_finish_is_refused_before_its_deadline() {
     let mut gate = full_gate();
     let deadline = at(500);
     assert_eq!(gate.arrive(at(1), Id(100), deadline), None);
@@ -108,7 +108,7 @@
         gate.cancel(at(6), Id(id));
     }
     for id in 1_000..1_100 {
-        gate.arrive(at(6), Id(id), FAR);
+        gate.arrive(at(6), Id(id), LATE_DEADLINE);
         gate.finish(at(8), Id(id), false);
     }
 
@@ -121,8 +121,9 @@
     let mut gate = Gate::open(SLOTS, 1);
     gate.ramp(30);
 
-    let started =
-        (0..SLOTS).filter(|id| gate.arrive(at(0), Id((*id).into()), FAR).is_some()).count();
+    let started = (0..SLOTS)
+        .filter(|id| gate.arrive(at(0), Id((*id).into()), LATE_DEADLINE).is_some())
+        .count();
 
     assert_eq!(started, 2);
 }
@@ -151,7 +152,7 @@
 
 /// Whatever happens in whatever order: no more requests run than there are slots (asserted inside
 /// the gate), every request gets one final decision at most, and none waits past its deadline.
-fn holds_its_promises(steps: Vec<Step>) -> bool {
+fn invariants_hold(steps: Vec<Step>) -> bool {
     let mut gate = Gate::open(SLOTS, 7);
     let mut now = Time::ZERO;
     let mut next = 0;
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn random_steps_never_break_a_promise() {
+fn invariants_hold_for_random_steps() {
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(400, 11)).tests(500);
-    check.quickcheck(holds_its_promises as fn(Vec<Step>) -> bool);
+    check.quickcheck(invariants_hold as fn(Vec<Step>) -> bool);
 }
--- a/crates/nutmegkeel_core/tests/agent.rs
+++ b/crates/nutmegkeel_core/tests/agent.rs
@@ -48,7 +48,7 @@
 }
 
 /// Keys spread evenly, as a hash would.
-const fn mixed(number: u64) -> u64 {
+const fn hashed(number: u64) -> u64 {
     number.wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
@@ -71,7 +71,7 @@
 /// The packets of one opening arrive before and after the agent began to leave; the flow would be
 /// opened at two agents. A held opening stays.
 #[test]
-fn an_opening_that_is_held_is_not_passed_on() {
+fn an_accepted_opening_is_not_passed_on() {
     let mut agent = serving(2_000);
     agent.handle(at(3_000), opening(1));
 
@@ -93,60 +93,61 @@
 /// loads yet; the caller sends two copies of its opening at once, which reach this balancer and an
 /// older one. Sent to two agents, both are answered, and the caller mixes the answers up.
 #[test]
-fn two_copies_of_an_opening_meet_at_one_agent_whatever_the_balancers_know_of_loads() {
+fn two_copies_of_an_opening_reach_the_same_agent_whatever_loads_the_balancers_know() {
     let busy = Report { connections: 500, busy: 7, queued: 20 };
-    let takers: BTreeSet<_> = (0..200)
+    let results: BTreeSet<_> = (0..200)
         .filter_map(|number| {
-            let key = Key::new(mixed(number));
-            let mut young = pool_of_two();
-            let mut old = pool_of_two();
-            let first = old.place(key, Rule::Rendezvous, 2)?.first;
-            old.apply_report(first, busy);
+            let key = Key::new(hashed(number));
+            let mut uninformed = pool_of_two();
+            let mut informed = pool_of_two();
+            let first = informed.place(key, Rule::Rendezvous, 2)?.first;
+            informed.apply_report(first, busy);
             let mut agent = serving(2_000);
-            let mut way = |pool: &mut Pool| {
+            let mut place = |pool: &mut Pool| {
                 let choice = pool.place(key, Rule::LoadedRendezvous, 2)?;
                 let opening = Opening::open(key, &choice);
                 let actions = agent.handle(at(3_000), Event::Opening(opening));
                 Some((choice.first, actions, choice.prefers_next))
             };
-            let (to_old, by_old, spared) = way(&mut old)?;
-            let (to_young, by_young, spared_too) = way(&mut young)?;
-            assert!(spared && !spared_too, "the views differ");
-            Some((to_old == to_young, by_old == by_young))
+            let (to_informed, by_informed, prefers_next) = place(&mut informed)?;
+            let (to_uninformed, by_uninformed, prefers_next_too) = place(&mut uninformed)?;
+            assert!(prefers_next && !prefers_next_too, "the views differ");
+            Some((to_informed == to_uninformed, by_informed == by_uninformed))
         })
         .collect();
 
-    assert_eq!(takers, BTreeSet::from([(true, true)]));
+    assert_eq!(results, BTreeSet::from([(true, true)]));
 }
 
 /// The next agent dies with the opening in its hands. The balancers name another one by then, and the
 /// first agent must not go on sending copies to the dead one.
 #[test]
-fn a_copy_follows_the_balancers_to_another_agent() {
+fn a_retransmission_is_passed_on_to_the_latest_second_choice() {
     let other = Hop { instance: Instance::new(9), ..NEXT };
-    let spared = Opening { key: Key::new(1), next: Some(NEXT), passes: 0, prefers_next: true };
+    let original = Opening { key: Key::new(1), next: Some(NEXT), passes: 0, prefers_next: true };
     let mut agent = serving(2_000);
-    agent.handle(at(3_000), Event::Opening(spared));
+    agent.handle(at(3_000), Event::Opening(original));
 
-    let copy = Event::Opening(Opening { next: Some(other), ..spared });
+    let copy = Event::Opening(Opening { next: Some(other), ..original });
 
     assert_eq!(agent.handle(at(4_000), copy), [Action::PassOn(other)]);
 }
 
 /// Two full agents pass an opening to and fro for ever. It must stay after a few passes.
 #[test]
-fn an_opening_is_passed_on_a_few_times_only() {
+fn an_opening_is_passed_on_a_limited_number_of_times() {
     let mut agent = serving(1);
     agent.handle(at(3_000), Event::FlowOpened);
 
-    let tired = Opening { key: Key::new(1), next: Some(NEXT), passes: 2, prefers_next: false };
+    let passed_twice =
+        Opening { key: Key::new(1), next: Some(NEXT), passes: 2, prefers_next: false };
 
-    assert_eq!(agent.handle(at(3_000), Event::Opening(tired)), [Action::Deliver]);
+    assert_eq!(agent.handle(at(3_000), Event::Opening(passed_twice)), [Action::Deliver]);
 }
 
 /// A record download is cut because its server's agent exited while it was in progress.
 #[test]
-fn a_leaving_agent_lives_until_its_last_flow_and_request_are_over() {
+fn a_leaving_agent_runs_until_its_last_flow_and_request_end() {
     let mut agent = serving(2_000);
     agent.handle(at(3_000), Event::FlowOpened);
     let started = agent.handle(at(3_000), Event::Request(Id(1), at(60_000)));
@@ -185,7 +186,7 @@
 
 /// A cancelled request keeps its slot, and after seven of them the desk answers nobody.
 #[test]
-fn cancelled_requests_give_their_slots_back() {
+fn cancelled_requests_free_their_slots() {
     let mut agent = serving(2_000);
     for id in 0..7 {
         agent.handle(at(3_000), Event::Request(Id(id), at(60_000)));
@@ -203,7 +204,7 @@
 /// A feed falls silent for good: its balancer died, the caller acknowledges only what reaches it,
 /// and the agent goes on answering through the dead balancer.
 #[test]
-fn answers_turn_to_another_balancer_when_the_caller_is_silent() {
+fn answers_switch_to_another_balancer_when_the_caller_sends_nothing() {
     let living: BTreeSet<_> = [address(1), address(2)].into();
     let caller = address(500);
     let mut paths = Paths::default();
--- a/crates/nutmegkeel_core/tests/configuration.rs
+++ b/crates/nutmegkeel_core/tests/configuration.rs
@@ -26,7 +26,7 @@
 /// An operator's change is in force on one balancer and never on the others: the platform went
 /// down straight after it was accepted, and only the platform was asked.
 #[test]
-fn a_change_reaches_everybody_without_the_platform() {
+fn a_change_reaches_all_balancers_without_the_platform() {
     for seed in 0..5 {
         let mut fleet = Fleet::open((0..40).map(balancer).collect(), seed);
         fleet.run_for(8_000);
@@ -41,7 +41,7 @@
 
 /// A balancer that was frozen during a change wakes with the old target and must catch up.
 #[test]
-fn a_frozen_balancer_catches_up() {
+fn a_paused_balancer_catches_up() {
     let mut fleet = Fleet::open((0..10).map(balancer).collect(), 1);
     fleet.run_for(8_000);
     fleet.halted.insert(address(3));
@@ -56,7 +56,7 @@
 
 /// A newcomer starts while the platform is down and serves without any target.
 #[test]
-fn a_newcomer_gets_the_configuration_from_its_peers() {
+fn a_new_balancer_gets_the_configuration_from_its_peers() {
     let mut fleet = Fleet::open((0..5).map(balancer).collect(), 1);
     fleet.run_for(8_000);
     fleet.learn(address(1), entry(9));
@@ -73,16 +73,16 @@
 }
 
 /// A message of a balancer that has a change which it does not carry along.
-fn news_of(revision: u64) -> Event {
-    let announced = nutmegkeel_core::membership::Message::Join(balancer(2));
-    let body = Body::Membership(announced);
+fn message_with_revision(revision: u64) -> Event {
+    let join = nutmegkeel_core::membership::Message::Join(balancer(2));
+    let body = Body::Membership(join);
     Event::Message(address(2), Message { revision: Revision(revision), body })
 }
 
 /// An operator is told that a class does not exist by a balancer that has only just started, and makes
 /// it a second time. Before its first read of the platform a balancer knows of nothing.
 #[test]
-fn a_balancer_that_has_read_nothing_does_not_know_the_classes() {
+fn a_balancer_that_has_not_read_the_platform_does_not_know_the_classes() {
     let mut balancer = open_balancer();
     assert_eq!(balancer.standing(), Standing::Unknown);
 
@@ -94,10 +94,10 @@
 /// A class was made through one balancer a moment ago, and the operator asks another for it. That one
 /// has heard of the new revision and not got it yet: it may not say that there is no such class.
 #[test]
-fn a_balancer_that_heard_of_a_newer_revision_knows_that_it_is_behind() {
+fn a_balancer_that_received_a_newer_revision_number_is_behind() {
     let mut balancer = open_balancer();
     balancer.handle(Time::ZERO, Event::Read(Vec::new()));
-    balancer.handle(Time::ZERO, news_of(7));
+    balancer.handle(Time::ZERO, message_with_revision(7));
     assert_eq!(balancer.standing(), Standing::Behind(Revision(7)));
 
     balancer.handle(Time::ZERO, Event::Accepted(entry(7)));
@@ -107,14 +107,14 @@
 
 /// A target that was changed twice goes back to the first change: its message came late.
 fn never_reverts(revisions: Vec<u8>) -> bool {
-    let mut book = Table::default();
+    let mut table = Table::default();
     let mut greatest = 0;
     revisions.iter().all(|revision| {
         let revision = u64::from(*revision);
-        book.apply(entry(revision));
+        table.apply(entry(revision));
         greatest = greatest.max(revision);
         let expected = (greatest > 0).then(|| 1_000 + greatest);
-        book.target("intake").map(|target| target.leave_within_ms) == expected
+        table.target("intake").map(|target| target.leave_within_ms) == expected
     })
 }
 
--- a/crates/nutmegkeel_core/tests/membership.rs
+++ b/crates/nutmegkeel_core/tests/membership.rs
@@ -17,7 +17,7 @@
 /// Two balancers start at the same time; an agent joins by each of them before they meet.
 /// Nobody is alone any more, so nobody joins again, and the two groups never hear of each other.
 #[test]
-fn groups_that_formed_apart_meet() {
+fn separate_groups_find_each_other() {
     // Arrange: two groups that hear nothing of each other while they form.
     let mut fleet = fleet_of(2, 4, 1);
     fleet.island = [address(0), address(100), address(101)].into();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_fleet_finds_itself_within_seconds() {
+fn processes_discover_each_other_within_seconds() {
     for seed in 0..20 {
         let mut fleet = fleet_of(4, 16, seed);
         fleet.loss_percent = 10;
@@ -48,7 +48,7 @@
 /// New flows go to a dead backend server's agent for as long as balancers believe it alive.
 /// The agent's host dies; probes by two balancers stay unanswered; suspicion runs out.
 #[test]
-fn a_dead_process_is_given_up_by_all_within_five_seconds() {
+fn a_dead_process_is_declared_dead_by_all_within_five_seconds() {
     let mut fleet = fleet_of(4, 16, 2);
     fleet.run_for(8_000);
     assert!(fleet.agrees());
@@ -63,7 +63,7 @@
 /// Every flow of a healthy agent is reset because a balancer that was frozen wakes and gives up
 /// everybody: to it, all probes look unanswered. The cause is that its clock jumped, not theirs.
 #[test]
-fn a_frozen_process_that_wakes_gives_nobody_up() {
+fn a_process_that_resumes_after_a_pause_declares_no_peer_dead() {
     let mut fleet = fleet_of(4, 16, 3);
     fleet.run_for(8_000);
 
@@ -73,15 +73,15 @@
     fleet.halted.remove(&address(0));
     fleet.run_for(10_000);
 
-    let by_the_frozen = fleet.gone.iter().filter(|(observer, _)| *observer == address(0));
-    assert_eq!(by_the_frozen.count(), 0);
+    let by_the_paused = fleet.gone.iter().filter(|(observer, _)| *observer == address(0));
+    assert_eq!(by_the_paused.count(), 0);
     assert!(fleet.agrees());
 }
 
 /// A healthy agent's flows are reset: a balancer suspected it, was frozen before it heard the
 /// refutation, and on waking finds the suspicion long run out. It must wait anew first.
 #[test]
-fn a_suspicion_does_not_run_out_while_its_holder_is_frozen() {
+fn a_suspicion_does_not_time_out_while_its_holder_is_paused() {
     let mut fleet = fleet_of(4, 16, 8);
     fleet.run_for(8_000);
     fleet.halted.insert(address(105));
@@ -110,7 +110,7 @@
 /// The cut side must keep its last good view, and when the cut heals nobody inside may be given up
 /// by suspicions that ran out meanwhile.
 #[test]
-fn a_cut_off_minority_keeps_its_last_good_view() {
+fn a_partitioned_minority_keeps_its_last_good_view() {
     let mut fleet = fleet_of(6, 12, 4);
     fleet.run_for(8_000);
     let minority = [address(0), address(3), address(100), address(103)];
@@ -120,15 +120,16 @@
     fleet.island.clear();
     fleet.run_for(15_000);
 
-    let given_up_inside = fleet.gone.iter().filter(|(observer, _)| minority.contains(observer));
-    assert_eq!(given_up_inside.count(), 0);
+    let declared_dead_inside =
+        fleet.gone.iter().filter(|(observer, _)| minority.contains(observer));
+    assert_eq!(declared_dead_inside.count(), 0);
     assert!(fleet.agrees());
 }
 
 /// A healthy suspect is given up though it would answer: two dead ones before it, which are asked
 /// already, take the two places of every tick, and it is never asked again.
 #[test]
-fn suspects_that_are_asked_already_keep_no_other_from_being_asked() {
+fn suspects_with_pending_probes_do_not_block_probes_of_others() {
     let alive = |number| Rumor { record: agent(number, "intake"), health: Health::Alive };
     let suspect = |number| Rumor { health: Health::Suspect, ..alive(number) };
     let mut membership = Membership::open(balancer(0), Timing::default(), 1);
@@ -137,22 +138,22 @@
     let suspects = (1..4).map(suspect).collect();
     membership.receive(Time::ZERO, address(9), Message::Rumors(suspects));
 
-    let mut asked = BTreeSet::new();
+    let mut probed = BTreeSet::new();
     for tick in 1..4 {
         for action in membership.tick(Time::from_millis(tick * 50)) {
             if let Action::Send(to, Message::Ping(_)) = action {
-                asked.insert(to);
+                probed.insert(to);
             }
         }
     }
 
-    assert!(asked.is_superset(&(1..4).map(address).collect()), "{asked:?}");
+    assert!(probed.is_superset(&(1..4).map(address).collect()), "{probed:?}");
 }
 
 /// A healthy agent's flows are reset by a balancer that only heard of its death from another one,
 /// which was cut off from it. Word of a death makes suspect and no more.
 #[test]
-fn word_of_a_death_alone_gives_nobody_up() {
+fn a_reported_death_alone_only_causes_suspicion() {
     let record = agent(1, "intake");
     let alive = Rumor { record, health: Health::Alive };
     let dead = Rumor { health: Health::Dead, ..alive.clone() };
@@ -168,7 +169,7 @@
 /// A flow is carried to a process that does not hold it: a crashed agent was replaced at the same
 /// address, and an old rumor of the earlier run comes late. The greater instance must win.
 #[test]
-fn a_later_run_replaces_an_earlier_one_everywhere() {
+fn a_later_instance_replaces_an_earlier_one_everywhere() {
     let mut fleet = fleet_of(4, 8, 5);
     fleet.run_for(8_000);
 
@@ -187,7 +188,7 @@
 /// A process that was frozen wakes after its host gave its address to another; it would go on
 /// serving with authority it no longer has. Word of the later run must stop it.
 #[test]
-fn a_replaced_process_is_told_to_stop() {
+fn a_replaced_process_stops() {
     let mut fleet = fleet_of(3, 4, 6);
     fleet.run_for(8_000);
     let successor = Record { instance: Instance::new(2), ..agent(101, "intake") };
--- a/crates/nutmegkeel_core/tests/placement.rs
+++ b/crates/nutmegkeel_core/tests/placement.rs
@@ -77,7 +77,7 @@
 
 /// Two agents of five are suspect and rank first for many flows; they must rank behind the others.
 #[test]
-fn suspects_rank_behind_the_trusted_whatever_the_rule() {
+fn suspects_rank_behind_all_others_under_every_rule() {
     let mut pool = pool(5);
     for number in [1, 2] {
         let mut suspect = Candidate::new(Instance::new(1), 7, 2_000);
@@ -98,7 +98,7 @@
 /// are placed apart: the handshake stalls until they are sent again. Within the tolerance of the
 /// class's target a flow stays with its first candidate.
 #[test]
-fn small_differences_of_load_place_no_opening_apart() {
+fn small_load_differences_do_not_change_the_placement() {
     let (mut one, mut other) = (pool(7), pool(7));
     for number in 0..7 {
         let hop = Hop { address: address(number), instance: Instance::new(1) };
@@ -115,7 +115,7 @@
 
 /// Every agent is suspect, so the observer is the likelier fault: flows must still be placed.
 #[test]
-fn all_suspect_is_as_good_as_none() {
+fn flows_are_placed_when_all_agents_are_suspect() {
     let mut pool = Pool::default();
     for number in 0..3 {
         let mut suspect = Candidate::new(Instance::new(1), 7, 2_000);
@@ -129,7 +129,7 @@
 /// Status checks hang at one desk while others are idle: a report of no load was old, and every
 /// balancer sent its new flows there until the next report. Own placements must count meanwhile.
 #[test]
-fn a_stale_report_of_no_load_attracts_no_herd() {
+fn a_stale_report_of_no_load_does_not_attract_all_flows() {
     let mut pool = pool(7);
     for number in 1..7 {
         let hop = Hop { address: address(number), instance: Instance::new(1) };
@@ -138,13 +138,13 @@
 
     let counts = placed(&mut pool, RULE, 2_000);
 
-    let herd = counts[&address(0)];
-    assert!(herd < 2_000 * 2 / 7, "{herd} of 2000 flows went to the idle agent");
+    let on_idle = counts[&address(0)];
+    assert!(on_idle < 2_000 * 2 / 7, "{on_idle} of 2000 flows went to the idle agent");
 }
 
 /// A report of an earlier run says nothing about the run that replaced it.
 #[test]
-fn a_report_of_an_earlier_run_is_ignored() {
+fn a_report_of_an_earlier_instance_is_ignored() {
     let mut pool = pool(1);
     let later = Candidate::new(Instance::new(2), 7, 10);
     pool.insert(address(0), later.clone());
--- a/crates/nutmegkeel_store/tests/batch.rs
+++ b/crates/nutmegkeel_store/tests/batch.rs
@@ -12,7 +12,7 @@
 }
 
 /// The number is the value's only byte.
-fn group() -> Writer {
+fn writer() -> Writer {
     Writer::open(PREFIX.to_owned(), |value| value.first().map(|byte| u64::from(*byte)))
 }
 
@@ -30,7 +30,7 @@
     let store = Leased::open(Vec::new());
     let entries: Vec<Entry> = (0..16).map(|owner| entry(owner, 1)).collect();
 
-    let written = group().write(&store, at(0), &entries).expect("the store answers");
+    let written = writer().write(&store, at(0), &entries).expect("the store answers");
 
     assert_eq!(written.len(), 16);
     assert_eq!((store.writes(), store.grants()), (1, 1));
@@ -38,11 +38,11 @@
 }
 
 #[test]
-fn more_than_one_transaction_takes_are_written_with_several() {
+fn more_writes_than_fit_into_one_transaction_take_several() {
     let store = Leased::open(Vec::new());
     let entries: Vec<Entry> = (0..20).map(|owner| entry(owner, 1)).collect();
 
-    let written = group().write(&store, at(0), &entries).expect("the store answers");
+    let written = writer().write(&store, at(0), &entries).expect("the store answers");
 
     assert_eq!((written.len(), store.writes()), (20, 2));
 }
@@ -52,7 +52,7 @@
 #[test]
 fn an_older_value_never_replaces_a_newer_one() {
     let store = Leased::open(Vec::new());
-    let (mut paused, mut other) = (group(), group());
+    let (mut paused, mut other) = (writer(), writer());
     paused.write(&store, at(0), &[entry(1, 1)]).expect("the store answers");
     other.write(&store, at(1_000), &[entry(1, 3)]).expect("the store answers");
 
@@ -67,12 +67,12 @@
 #[test]
 fn a_lost_answer_does_not_stop_later_writes() {
     let store = Leased::open(Vec::new());
-    let mut group = group();
-    group.write(&store, at(0), &[entry(1, 1), entry(2, 1)]).expect("the store answers");
+    let mut writer = writer();
+    writer.write(&store, at(0), &[entry(1, 1), entry(2, 1)]).expect("the store answers");
     store.set_fates(vec![Fate::AnswerLost]);
 
-    let lost = group.write(&store, at(1_000), &[entry(1, 2), entry(2, 2)]);
-    let next = group.write(&store, at(2_000), &[entry(1, 3), entry(2, 2)]);
+    let lost = writer.write(&store, at(1_000), &[entry(1, 2), entry(2, 2)]);
+    let next = writer.write(&store, at(2_000), &[entry(1, 3), entry(2, 2)]);
 
     assert!(lost.is_err());
     assert_eq!(next, Ok(vec![(entry(1, 3).key, 3), (entry(2, 2).key, 2)]));
@@ -83,11 +83,11 @@
 #[test]
 fn an_owner_that_wrote_by_itself_does_not_stop_the_others() {
     let store = Leased::open(Vec::new());
-    let mut group = group();
-    group.write(&store, at(0), &[entry(1, 1), entry(2, 1)]).expect("the store answers");
+    let mut writer = writer();
+    writer.write(&store, at(0), &[entry(1, 1), entry(2, 1)]).expect("the store answers");
     store.set_fates(vec![Fate::AfterRival(entry(1, 2).key, vec![2])]);
 
-    let written = group.write(&store, at(1_000), &[entry(1, 3), entry(2, 3)]);
+    let written = writer.write(&store, at(1_000), &[entry(1, 3), entry(2, 3)]);
 
     assert!(written.is_ok(), "{written:?}");
     assert_eq!((value(&store, 1), value(&store, 2)), (Some(3), Some(3)));
@@ -97,7 +97,7 @@
 fn a_value_that_cannot_be_read_is_replaced() {
     let store = Leased::open(vec![Fate::AfterRival(entry(1, 0).key, Vec::new())]);
 
-    let written = group().write(&store, at(0), &[entry(1, 1)]);
+    let written = writer().write(&store, at(0), &[entry(1, 1)]);
 
     assert!(written.is_ok(), "{written:?}");
     assert_eq!(value(&store, 1), Some(1));
@@ -106,11 +106,11 @@
 #[test]
 fn an_ended_lease_is_replaced() {
     let store = Leased::open(Vec::new());
-    let mut group = group();
-    group.write(&store, at(0), &[entry(1, 1)]).expect("the store answers");
+    let mut writer = writer();
+    writer.write(&store, at(0), &[entry(1, 1)]).expect("the store answers");
     store.set_kept(Renewal::Ended);
 
-    let written = group.write(&store, at(50_000), &[entry(1, 2)]);
+    let written = writer.write(&store, at(50_000), &[entry(1, 2)]);
 
     assert!(written.is_ok(), "{written:?}");
     assert_eq!(store.grants(), 2);
@@ -118,13 +118,13 @@
 
 /// Guards against lists that are taken for written though the store came back from a copy without them.
 #[test]
-fn a_group_reads_anew_when_the_store_is_back_from_a_copy() {
+fn a_writer_reads_again_after_the_store_was_restored() {
     let store = Leased::open(Vec::new());
-    let mut group = group();
-    group.write(&store, at(0), &[entry(1, 5), entry(2, 5)]).expect("the store answers");
+    let mut writer = writer();
+    writer.write(&store, at(0), &[entry(1, 5), entry(2, 5)]).expect("the store answers");
     store.restore(&[(&format!("{PREFIX}1"), &[2])]);
 
-    let written = group.write(&store, at(100), &[entry(1, 5), entry(2, 5)]);
+    let written = writer.write(&store, at(100), &[entry(1, 5), entry(2, 5)]);
 
     assert_eq!(written.expect("the store answers").len(), 2);
     assert_eq!((value(&store, 1), value(&store, 2)), (Some(5), Some(5)));
--- a/crates/nutmegkeel_store/tests/claims.rs
+++ b/crates/nutmegkeel_store/tests/claims.rs
@@ -24,11 +24,11 @@
 }
 
 #[test]
-fn a_group_of_new_keys_takes_one_write() {
+fn a_batch_of_new_keys_takes_one_write() {
     let store = Memory::default();
-    let group: Vec<Claim> = (0..50).map(|id| claim(1, id, &format!("key {id}"))).collect();
+    let batch: Vec<Claim> = (0..50).map(|id| claim(1, id, &format!("key {id}"))).collect();
 
-    let outcomes = write(&store, &group);
+    let outcomes = write(&store, &batch);
 
     assert_eq!(outcomes, vec![Outcome::Ours; 50]);
     assert_eq!(store.writes(), 1);
@@ -48,7 +48,7 @@
 
 /// The same key arrives on two flows of one agent and both requests are in one group.
 #[test]
-fn a_key_twice_in_one_group_is_ours_once() {
+fn a_key_twice_in_one_batch_is_ours_once() {
     let store = Memory::default();
 
     let outcomes = write(&store, &[claim(1, 1, "filing"), claim(1, 2, "filing")]);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_call_that_was_lost_is_made_again() {
+fn a_lost_call_is_repeated() {
     let store = Memory::open(vec![Fate::Answered, Fate::CallLost]);
 
     assert_eq!(write(&store, &[claim(1, 1, "filing")]), [Outcome::Ours]);
@@ -81,9 +81,9 @@
     let claim = claim(1, 1, "filing");
     let mut ledger = Ledger::default();
     ledger.request(claim, DEADLINE);
-    let group = ledger.next_batch().expect("one claim waits");
+    let batch = ledger.next_batch().expect("one claim waits");
 
-    let outcomes = write(&store, &group);
+    let outcomes = write(&store, &batch);
     let settled = ledger.written(Time::from_millis(5), &outcomes);
 
     assert_eq!(outcomes, [Outcome::Unknown]);
@@ -100,7 +100,7 @@
 /// A filing runs twice: its agent was frozen between claim and start for so long that the platform
 /// forgot the claim and another agent claimed the key. On waking the first one still held "ours".
 #[test]
-fn a_claim_that_was_held_too_long_is_not_acted_upon() {
+fn a_claimed_request_does_not_run_after_its_deadline() {
     let mut ledger = Ledger::default();
     ledger.request(claim(1, 1, "filing"), DEADLINE);
     ledger.next_batch();
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn one_group_is_in_flight_at_a_time() {
+fn one_batch_is_in_flight_at_a_time() {
     let mut ledger = Ledger::default();
     ledger.request(claim(1, 1, "one"), DEADLINE);
     assert!(ledger.next_batch().is_some());
@@ -132,12 +132,12 @@
 
     assert_eq!(ledger.next_batch(), None);
     ledger.written(Time::ZERO, &[Outcome::Ours]);
-    assert_eq!(ledger.next_batch().map(|group| group.len()), Some(1));
+    assert_eq!(ledger.next_batch().map(|batch| batch.len()), Some(1));
 }
 
 /// A caller went away while its claim was in flight; its request must not start any more.
 #[test]
-fn a_request_given_up_during_its_claim_does_not_run() {
+fn a_request_cancelled_during_its_claim_does_not_run() {
     let mut ledger = Ledger::default();
     ledger.request(claim(1, 1, "filing"), DEADLINE);
     ledger.next_batch();
--- a/crates/nutmegkeel_store/tests/classes.rs
+++ b/crates/nutmegkeel_store/tests/classes.rs
@@ -38,7 +38,7 @@
     classes::read(store).expect("the fake answers")
 }
 
-fn rival(leave_within_ms: u64) -> Fate {
+fn concurrent_write(leave_within_ms: u64) -> Fate {
     let value = Value { target: Some(target(leave_within_ms)), changes: vec!["rival".into()] };
     let value = serde_json::to_vec(&value).expect("a value is JSON");
     Fate::AfterRival(format!("{PREFIX}intake"), value)
@@ -48,9 +48,9 @@
 fn an_accepted_change_is_written() {
     let store = Memory::default();
 
-    let ended = change(&store, request("a", 900, Some(0)));
+    let result = change(&store, request("a", 900, Some(0)));
 
-    assert!(matches!(ended, Action::Accepted(_)));
+    assert!(matches!(result, Action::Accepted(_)));
     assert_eq!(stored(&store)[0].target, Some(target(900)));
 }
 
@@ -60,21 +60,21 @@
 fn a_lost_answer_is_resolved_and_written_once() {
     let store = Memory::open(vec![Fate::Answered, Fate::AnswerLost]);
 
-    let ended = change(&store, request("a", 900, Some(0)));
+    let result = change(&store, request("a", 900, Some(0)));
 
-    assert!(matches!(ended, Action::Accepted(Entry { revision: Revision(1), .. })));
+    assert!(matches!(result, Action::Accepted(Entry { revision: Revision(1), .. })));
     assert_eq!(store.writes(), 1);
 }
 
 /// Two operators change the same class; the later one silently undoes the earlier one's change.
 /// One must win, and the other must learn the revision that it lost to.
 #[test]
-fn of_two_racing_operators_one_gets_a_conflict() {
-    let store = Memory::open(vec![Fate::Answered, rival(700)]);
+fn one_of_two_concurrent_changes_gets_a_conflict() {
+    let store = Memory::open(vec![Fate::Answered, concurrent_write(700)]);
 
-    let ended = change(&store, request("a", 900, Some(0)));
+    let result = change(&store, request("a", 900, Some(0)));
 
-    assert_eq!(ended, Action::Conflict(Revision(1)));
+    assert_eq!(result, Action::Conflict(Revision(1)));
     assert_eq!(stored(&store)[0].target, Some(target(700)));
 }
 
@@ -92,14 +92,14 @@
         revision: Revision(2),
     };
 
-    let ended = state.handle(Time::ZERO, Event::Read(Some(replaced)));
+    let result = state.handle(Time::ZERO, Event::Read(Some(replaced)));
 
-    let Action::Accepted(entry) = ended else { panic!("{ended:?}") };
+    let Action::Accepted(entry) = result else { panic!("{result:?}") };
     assert_eq!((entry.revision, entry.target), (Revision(2), Some(target(700))));
 }
 
 #[test]
-fn a_repeat_with_the_same_identity_changes_nothing() {
+fn a_repeat_with_the_same_identifier_changes_nothing() {
     let store = Memory::default();
     change(&store, request("a", 900, Some(0)));
 
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_platform_that_goes_away_after_the_write_means_may_have_run() {
+fn a_platform_that_becomes_unavailable_after_the_write_means_may_have_run() {
     let mut fates = vec![Fate::Answered, Fate::AnswerLost];
     fates.extend(vec![Fate::NotSent; 100]);
     let store = Memory::open(fates);
--- a/crates/nutmegkeel_store/tests/document.rs
+++ b/crates/nutmegkeel_store/tests/document.rs
@@ -34,7 +34,7 @@
 /// A host comes back before its predecessor's list was read: the store was away. Its own lists must
 /// get through all the same.
 #[test]
-fn a_document_that_was_never_read_is_written_over() {
+fn a_document_that_was_never_read_is_overwritten() {
     let store = Leased::open(Vec::new());
     document().write(&store, at(0), b"old").expect("the store answers");
 
@@ -65,9 +65,9 @@
 fn a_document_that_was_never_written_takes_no_lease() {
     let store = Leased::open(Vec::new());
 
-    let kept = document().renew(&store, at(50_000));
+    let renewed = document().renew(&store, at(50_000));
 
-    assert_eq!(kept, Ok(()));
+    assert_eq!(renewed, Ok(()));
     assert_eq!(store.grants(), 0);
 }
 
@@ -78,8 +78,8 @@
     document.write(&store, at(0), b"one").expect("the store answers");
     store.set_kept(Renewal::Ended);
 
-    let kept = document.renew(&store, at(50_000));
+    let renewed = document.renew(&store, at(50_000));
 
-    assert_eq!(kept, Ok(()));
+    assert_eq!(renewed, Ok(()));
     assert_eq!(store.grants(), 2);
 }
--- a/crates/nutmegkeel_store/tests/registration.rs
+++ b/crates/nutmegkeel_store/tests/registration.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_entry_of_the_process_before_is_written_over() {
+fn an_entry_of_the_predecessor_is_overwritten() {
     let store = Leased::open(Vec::new());
     entry().step(&store, at(0)).expect("the store answers");
 
@@ -67,7 +67,7 @@
 /// The store was down longer than the lease. Others find the process again by its entry, which is
 /// written with a new lease at the first call that is answered.
 #[test]
-fn an_entry_that_lapsed_is_written_again() {
+fn an_expired_entry_is_written_again() {
     let store = Leased::open(Vec::new());
     let mut entry = entry();
     entry.step(&store, at(0)).expect("the store answers");
@@ -81,7 +81,7 @@
 /// Guards against a process that nobody finds after the store came back from a copy that lacks its entry: the
 /// renewal of a lease that another process has now would succeed.
 #[test]
-fn an_entry_is_written_again_when_the_store_is_back_from_a_copy() {
+fn an_entry_is_written_again_after_the_store_was_restored() {
     let store = Leased::open(Vec::new());
     let mut entry = entry();
     entry.step(&store, at(0)).expect("the store answers");
--- a/crates/nutmegkeel_wire/tests/checkpoint.rs
+++ b/crates/nutmegkeel_wire/tests/checkpoint.rs
@@ -9,7 +9,7 @@
 use quickcheck::quickcheck;
 
 quickcheck! {
-    fn a_list_comes_back_as_it_was(server: String, started_ms: Option<u64>, ports: Vec<u16>, ack: u32) -> bool {
+    fn a_list_is_decoded_unchanged(server: String, started_ms: Option<u64>, ports: Vec<u16>, ack: u32) -> bool {
         let ends = |port| Flow {
             client: SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 1), port),
             service: SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443),
@@ -19,7 +19,7 @@
         decode(&encode(&list)) == Some(list)
     }
 
-    fn no_bytes_make_the_decoder_fail(bytes: Vec<u8>) -> bool {
+    fn random_bytes_do_not_make_the_decoder_panic(bytes: Vec<u8>) -> bool {
         let list = decode(&bytes);
         list.is_none() || bytes.first() == Some(&2)
     }
--- a/crates/nutmegkeel_wire/tests/frame.rs
+++ b/crates/nutmegkeel_wire/tests/frame.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_frame_survives_the_way() {
+fn a_frame_is_decoded_unchanged() {
     let bytes = encoded(b"the packet");
 
     let frame = frame::decode(&old_ring(), NOW, &bytes).expect("the frame is whole");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_frame_recorded_and_sent_again_later_is_refused() {
+fn a_replayed_frame_is_refused() {
     let bytes = encoded(b"the packet");
 
     let late = frame::decode(&old_ring(), NOW.after(MAX_SKEW_MS + 1), &bytes);
@@ -106,7 +106,7 @@
 /// A packet for the records intake desk reaches the records vault: its connection ID was issued
 /// for one class and presented at the address of another.
 #[test]
-fn a_connection_id_of_another_class_names_no_agent() {
+fn a_connection_id_of_another_class_is_refused() {
     let id = cid::encode(&old_ring(), class::Id::of("intake"), hop(), 5).expect("fits");
 
     let elsewhere = cid::decode(&old_ring(), class::Id::of("vault"), &id);
@@ -126,12 +126,12 @@
 }
 
 #[test]
-fn a_reset_is_shorter_than_what_provoked_it() {
+fn a_reset_is_shorter_than_the_packet_that_it_answers() {
     let id = cid::encode(&old_ring(), class::Id::of("intake"), hop(), 5).expect("fits");
 
-    for provoked_by in 0..100 {
-        if let Some(packet) = reset::packet(&old_ring(), &id, provoked_by, 1) {
-            assert!(packet.len() < provoked_by);
+    for trigger_length in 0..100 {
+        if let Some(packet) = reset::packet(&old_ring(), &id, trigger_length, 1) {
+            assert!(packet.len() < trigger_length);
         }
     }
     assert!(reset::packet(&old_ring(), &id, 22, 1).is_some());
--- a/crates/nutmegkeel_wire/tests/l4.rs
+++ b/crates/nutmegkeel_wire/tests/l4.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_message_and_the_packet_behind_it_come_back() {
+fn a_message_and_the_packet_after_it_are_decoded_unchanged() {
     let mut datagram = Vec::new();
 
     encode(&declined(), b"packet", &mut datagram);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn another_version_is_not_understood() {
+fn another_version_is_refused() {
     let mut datagram = Vec::new();
     encode(&declined(), b"", &mut datagram);
     datagram[0] += 1;
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn no_bytes_end_the_process() {
-    fn holds(bytes: Vec<u8>) -> bool {
+fn random_bytes_do_not_cause_a_panic() {
+    fn decodes_without_panic(bytes: Vec<u8>) -> bool {
         let _ = decode(&bytes);
         let _ = decode(&[&version(), bytes.as_slice()].concat());
         true
     }
-    QuickCheck::new().tests(5_000).quickcheck(holds as fn(Vec<u8>) -> bool);
+    QuickCheck::new().tests(5_000).quickcheck(decodes_without_panic as fn(Vec<u8>) -> bool);
 }
 
 /// The first byte of every datagram.
