--- a/crates/nutmegkeel_core/src/admission.rs
+++ b/crates/nutmegkeel_core/src/admission.rs
@@ -116,7 +116,7 @@
         None
     }
 
-    /// Handles the end of a started request; `shed` tells whether the backend server rejected it.
+    /// Handles the end of a started request; `shed` states whether the backend server rejected it.
     ///
     /// A shed request halves the limit, any other one raises it by a constant step.
     pub fn finish(&mut self, now: Time, id: Id, shed: bool) -> Vec<Decision> {
--- a/crates/nutmegkeel_core/src/agent.rs
+++ b/crates/nutmegkeel_core/src/agent.rs
@@ -353,7 +353,7 @@
         let stage = std::mem::replace(&mut self.stage, Stage::Announced(Lifecycle::begin()));
         self.stage = step(stage);
         let after = self.phase();
-        assert!(after >= before, "agent: life went back from {before:?} to {after:?} at {now:?}");
+        assert!(after >= before, "agent: phase went back from {before:?} to {after:?} at {now:?}");
         let role = Role::Agent(self.capacity.clone());
         self.peer.membership_mut().update(role, after);
         if after == before {
--- a/crates/nutmegkeel_core/src/claim.rs
+++ b/crates/nutmegkeel_core/src/claim.rs
@@ -110,7 +110,8 @@
     /// platform keeps a claim: a second request with the same key could claim and run, and the
     /// paused agent would run the first one when it resumes. A request is therefore not run after
     /// its deadline, by the clock at the time of this call. Deadlines start with the arrival of the
-    /// request and are far shorter than [`RETENTION_MS`]. The model `at_most_once` checks both cases.
+    /// request and are far shorter than [`RETENTION_MS`]. The model `at_most_once` checks both
+    /// cases.
     pub fn written(&mut self, now: Time, outcomes: &[Outcome]) -> Vec<Settled> {
         let batch = std::mem::take(&mut self.in_flight);
         batch
--- a/crates/nutmegkeel_core/src/configuration.rs
+++ b/crates/nutmegkeel_core/src/configuration.rs
@@ -58,7 +58,7 @@
         }
         let before = self.revision;
         self.revision = self.revision.max(entry.revision);
-        assert!(self.revision >= before, "configuration: revision went back");
+        assert!(self.revision >= before, "configuration: revision decreased");
         self.entries.insert(entry.name.clone(), entry);
         true
     }
--- a/crates/nutmegkeel_core/src/membership/suspicion.rs
+++ b/crates/nutmegkeel_core/src/membership/suspicion.rs
@@ -166,9 +166,10 @@
     ///
     /// Guards against a mass removal when this process or its failure domain is isolated: then very
     /// many processes become suspect at once, and keeping the last good view is better. A suspect
-    /// is declared dead after `suspicion_timeout_ms` only if at most a third of all processes are suspect
-    /// and enough other probes that were sent since the unanswered one were answered. Otherwise it
-    /// is declared dead after `max_suspicion_ms`, and no suspect is while most probes go unanswered.
+    /// is declared dead after `suspicion_timeout_ms` only if at most a third of all processes are
+    /// suspect and enough other probes that were sent since the unanswered one were answered.
+    /// Otherwise it is declared dead after `max_suspicion_ms`, and no suspect is while most probes
+    /// go unanswered.
     pub(super) fn declare_dead(&mut self, now: Time, actions: &mut Vec<Action>) {
         let suspects = self.beliefs.suspect_count();
         if suspects == 0 {
--- a/crates/nutmegkeel_core/src/return_path.rs
+++ b/crates/nutmegkeel_core/src/return_path.rs
@@ -41,8 +41,8 @@
     ///
     /// Guards against flows on which only the agent sends data and that stall when their balancer
     /// dies: the caller acknowledges only what reaches it, so an agent that keeps answering through
-    /// the dead balancer never gets a packet through another one. After [`SWITCH_AFTER_MS`] without a
-    /// packet from the caller, answers use the next living balancer, and the next one after each
+    /// the dead balancer never gets a packet through another one. After [`SWITCH_AFTER_MS`] without
+    /// a packet from the caller, answers use the next living balancer, and the next one after each
     /// further such interval.
     pub fn choose(
         &mut self,
--- a/crates/nutmegkeel_core/tests/admission.rs
+++ b/crates/nutmegkeel_core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Limits of one backend server under load, shedding, cancellation and deadlines.
+//! Admission control: concurrency limit, queue, shedding, cancellation and deadlines.
 
 use nutmegkeel_core::admission::{Decision, Gate, Id, Reason};
 use nutmegkeel_core::clock::Time;
@@ -31,8 +31,8 @@
     assert_eq!(gate.busy(), SLOTS);
 }
 
-/// A status check hangs until its deadline and then fails anyway.
-/// It joined a queue too long to be served in time. It must be refused when it arrives.
+/// Guards against a request that joins a queue too long for its deadline and fails only when the
+/// deadline passes. It must be refused when it arrives.
 #[test]
 fn a_request_that_cannot_finish_in_time_is_refused_at_once() {
     let mut gate = full_gate();
@@ -42,8 +42,8 @@
     assert!(matches!(decision, Some(Decision::Refuse(Id(100), Reason::Busy, _))));
 }
 
-/// Under overload half of all answers come just too late, and their slots were wasted: requests
-/// were started with no more than the mean service time left, though times vary.
+/// Guards against wasted slots under overload: service times vary, so of the requests that start
+/// with only the mean service time left, half finish after their deadline.
 #[test]
 fn a_request_is_refused_when_only_a_fast_one_would_finish() {
     let mut gate = Gate::open(SLOTS, 1);
@@ -62,9 +62,8 @@
     assert!(matches!(decision, Some(Decision::Refuse(Id(300), Reason::Busy, _))), "{decision:?}");
 }
 
-/// A caller waits for an answer that nobody will give: its request sat in the queue while the
-/// backend server stalled, and can no longer finish before its deadline. The refusal must come
-/// when that is known, not at the deadline.
+/// Guards against callers that wait in vain: while the backend server stalls, a queued request
+/// becomes unable to finish before its deadline. It must be refused then and not at the deadline.
 #[test]
 fn a_waiting_request_that_can_no_longer_finish_is_refused_before_its_deadline() {
     let mut gate = full_gate();
@@ -78,8 +77,8 @@
     assert!(matches!(decisions[..], [Decision::Refuse(Id(100), Reason::Late, _)]));
 }
 
-/// All refused callers return in the same second and are refused together again.
-/// They were all told the same pause.
+/// Guards against refused callers that all retry at the same time, and are refused again, because
+/// they got the same pause.
 #[test]
 fn pauses_of_refused_callers_are_spread() {
     let mut gate = full_gate();
@@ -128,7 +127,7 @@
     assert_eq!(started, 2);
 }
 
-/// One thing that happens to a gate.
+/// One input of a gate.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Arrive { within: u16 },
@@ -150,8 +149,8 @@
     }
 }
 
-/// Whatever happens in whatever order: no more requests run than there are slots (asserted inside
-/// the gate), every request gets one final decision at most, and none waits past its deadline.
+/// Checks for any order of inputs that no more requests run than there are slots (also asserted in
+/// the gate), that each request gets at most one decision, and that none waits past its deadline.
 fn invariants_hold(steps: Vec<Step>) -> bool {
     let mut gate = Gate::open(SLOTS, 7);
     let mut now = Time::ZERO;
--- a/crates/nutmegkeel_core/tests/agent.rs
+++ b/crates/nutmegkeel_core/tests/agent.rs
@@ -1,4 +1,4 @@
-//! The agent at its last hop: leaving, passing on, answering.
+//! The agent: accepting and passing on flows, leaving, requests and return paths.
 
 use std::collections::BTreeSet;
 
@@ -47,7 +47,7 @@
     pool
 }
 
-/// Keys spread evenly, as a hash would.
+/// Spreads keys uniformly, like a hash.
 const fn hashed(number: u64) -> u64 {
     number.wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
@@ -56,8 +56,8 @@
     Event::Opening(Opening { key: Key::new(key), next: Some(NEXT), passes: 0, prefers_next: false })
 }
 
-/// A draining server keeps getting filings for seconds, because two balancers have not heard yet.
-/// The agent itself passes new flows on from the moment it leaves, whoever sent them.
+/// Guards against new flows at a draining backend server: balancers learn only after some seconds
+/// that it leaves. Its agent must pass new flows on as soon as it leaves.
 #[test]
 fn a_leaving_agent_passes_new_flows_on_at_once() {
     let mut agent = serving(2_000);
@@ -68,8 +68,8 @@
     assert_eq!(actions, [Action::PassOn(NEXT)]);
 }
 
-/// The packets of one opening arrive before and after the agent began to leave; the flow would be
-/// opened at two agents. A held opening stays.
+/// Guards against a flow that is opened at two agents: the packets of its opening arrive before and
+/// after the agent starts to leave. An accepted opening must not be passed on.
 #[test]
 fn an_accepted_opening_is_not_passed_on() {
     let mut agent = serving(2_000);
@@ -89,9 +89,9 @@
     assert_eq!(agent.handle(at(3_000), opening(1)), [Action::PassOn(NEXT)]);
 }
 
-/// A call breaks with a protocol error while it opens. A balancer has started a second ago and knows no
-/// loads yet; the caller sends two copies of its opening at once, which reach this balancer and an
-/// older one. Sent to two agents, both are answered, and the caller mixes the answers up.
+/// Guards against protocol errors during the handshake: a caller sends two copies of its opening,
+/// which reach a balancer without load reports, because it just started, and one with them. If the
+/// copies reached two agents, both would answer.
 #[test]
 fn two_copies_of_an_opening_reach_the_same_agent_whatever_loads_the_balancers_know() {
     let busy = Report { connections: 500, busy: 7, queued: 20 };
@@ -111,7 +111,7 @@
             };
             let (to_informed, by_informed, prefers_next) = place(&mut informed)?;
             let (to_uninformed, by_uninformed, prefers_next_too) = place(&mut uninformed)?;
-            assert!(prefers_next && !prefers_next_too, "the views differ");
+            assert!(prefers_next && !prefers_next_too, "the balancers prefer different agents");
             Some((to_informed == to_uninformed, by_informed == by_uninformed))
         })
         .collect();
@@ -119,8 +119,8 @@
     assert_eq!(results, BTreeSet::from([(true, true)]));
 }
 
-/// The next agent dies with the opening in its hands. The balancers name another one by then, and the
-/// first agent must not go on sending copies to the dead one.
+/// Guards against retransmissions that are passed on to a dead agent: the second choice died after
+/// the opening was passed on to it, and the balancers have replaced it with another one.
 #[test]
 fn a_retransmission_is_passed_on_to_the_latest_second_choice() {
     let other = Hop { instance: Instance::new(9), ..NEXT };
@@ -133,7 +133,7 @@
     assert_eq!(agent.handle(at(4_000), copy), [Action::PassOn(other)]);
 }
 
-/// Two full agents pass an opening to and fro for ever. It must stay after a few passes.
+/// Guards against an endless loop in which two full agents pass an opening back and forth.
 #[test]
 fn an_opening_is_passed_on_a_limited_number_of_times() {
     let mut agent = serving(1);
@@ -145,7 +145,7 @@
     assert_eq!(agent.handle(at(3_000), Event::Opening(passed_twice)), [Action::Deliver]);
 }
 
-/// A record download is cut because its server's agent exited while it was in progress.
+/// Guards against a request that is aborted because the agent exits while it is in progress.
 #[test]
 fn a_leaving_agent_runs_until_its_last_flow_and_request_end() {
     let mut agent = serving(2_000);
@@ -167,8 +167,8 @@
     assert_eq!(agent.phase(), Phase::Gone);
 }
 
-/// A backend server that breaks off every request is hit twice as hard by the system's retries.
-/// They are bounded to a tenth of the requests.
+/// Guards against retries that double the load of a backend server which aborts every request.
+/// They must be limited to a tenth of the requests.
 #[test]
 fn retries_are_bounded_to_a_tenth_of_the_requests() {
     let mut agent = serving(2_000);
@@ -184,7 +184,7 @@
     assert_eq!(retries, 100);
 }
 
-/// A cancelled request keeps its slot, and after seven of them the desk answers nobody.
+/// Guards against cancelled requests that keep their slots until no request can start any more.
 #[test]
 fn cancelled_requests_free_their_slots() {
     let mut agent = serving(2_000);
@@ -201,8 +201,8 @@
     assert_eq!(agent.report().busy, 1);
 }
 
-/// A feed falls silent for good: its balancer died, the caller acknowledges only what reaches it,
-/// and the agent goes on answering through the dead balancer.
+/// Guards against a flow that stalls after the death of its balancer: the caller only acknowledges
+/// what reaches it, so an agent that keeps answering through that balancer gets no other path.
 #[test]
 fn answers_switch_to_another_balancer_when_the_caller_sends_nothing() {
     let living: BTreeSet<_> = [address(1), address(2)].into();
--- a/crates/nutmegkeel_core/tests/configuration.rs
+++ b/crates/nutmegkeel_core/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! An operator's change on its way to every process.
+//! Spread of configuration changes to all processes.
 
 use nutmegkeel_core::balancer::{Balancer, Event};
 use nutmegkeel_core::class::Target;
@@ -23,8 +23,8 @@
         .count()
 }
 
-/// An operator's change is in force on one balancer and never on the others: the platform went
-/// down straight after it was accepted, and only the platform was asked.
+/// Guards against a change that is in force on one balancer only: the platform becomes unavailable
+/// right after it accepted the change, so the other balancers must get it from peers.
 #[test]
 fn a_change_reaches_all_balancers_without_the_platform() {
     for seed in 0..5 {
@@ -39,7 +39,7 @@
     }
 }
 
-/// A balancer that was frozen during a change wakes with the old target and must catch up.
+/// Guards against a balancer that keeps the old target because it was paused during a change.
 #[test]
 fn a_paused_balancer_catches_up() {
     let mut fleet = Fleet::open((0..10).map(balancer).collect(), 1);
@@ -54,7 +54,8 @@
     assert_eq!(in_force(&fleet, 1), 10);
 }
 
-/// A newcomer starts while the platform is down and serves without any target.
+/// Guards against a new balancer that serves without targets because the platform is unavailable
+/// when it starts.
 #[test]
 fn a_new_balancer_gets_the_configuration_from_its_peers() {
     let mut fleet = Fleet::open((0..5).map(balancer).collect(), 1);
@@ -72,15 +73,15 @@
     Balancer::open(balancer(1), Timing::default(), Rule::LoadedRendezvous, 1)
 }
 
-/// A message of a balancer that has a change which it does not carry along.
+/// Returns a message from a balancer that has this revision, without the entry itself.
 fn message_with_revision(revision: u64) -> Event {
     let join = nutmegkeel_core::membership::Message::Join(balancer(2));
     let body = Body::Membership(join);
     Event::Message(address(2), Message { revision: Revision(revision), body })
 }
 
-/// An operator is told that a class does not exist by a balancer that has only just started, and makes
-/// it a second time. Before its first read of the platform a balancer knows of nothing.
+/// Guards against an operator who creates a class a second time: a balancer that just started, and
+/// has not read the platform yet, must not report that the class does not exist.
 #[test]
 fn a_balancer_that_has_not_read_the_platform_does_not_know_the_classes() {
     let mut balancer = open_balancer();
@@ -91,8 +92,8 @@
     assert_eq!(balancer.standing(), Standing::Current);
 }
 
-/// A class was made through one balancer a moment ago, and the operator asks another for it. That one
-/// has heard of the new revision and not got it yet: it may not say that there is no such class.
+/// Guards against a balancer that reports a new class as missing: it has received the new revision
+/// number in a message, but not the entry yet.
 #[test]
 fn a_balancer_that_received_a_newer_revision_number_is_behind() {
     let mut balancer = open_balancer();
@@ -105,7 +106,7 @@
     assert_eq!(balancer.standing(), Standing::Current);
 }
 
-/// A target that was changed twice goes back to the first change: its message came late.
+/// Checks that a target never reverts to an earlier change whose message arrives late.
 fn never_reverts(revisions: Vec<u8>) -> bool {
     let mut table = Table::default();
     let mut greatest = 0;
--- a/crates/nutmegkeel_core/tests/membership.rs
+++ b/crates/nutmegkeel_core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership under loss, islands, freezes, cuts and restarts.
+//! Membership under packet loss, partitions, pauses and restarts.
 
 use std::collections::BTreeSet;
 
@@ -13,12 +13,11 @@
     Fleet::open(balancers.chain(agents).collect(), seed)
 }
 
-/// A caller's feed stays silent because its agent knows only a balancer that died.
-/// Two balancers start at the same time; an agent joins by each of them before they meet.
-/// Nobody is alone any more, so nobody joins again, and the two groups never hear of each other.
+/// Guards against separate groups of processes that never find each other: two balancers start at
+/// the same time, and an agent joins each of them. No process is alone then, so none joins again.
 #[test]
 fn separate_groups_find_each_other() {
-    // Arrange: two groups that hear nothing of each other while they form.
+    // Arrange: two groups that cannot reach each other while they form.
     let mut fleet = fleet_of(2, 4, 1);
     fleet.island = [address(0), address(100), address(101)].into();
     fleet.run_for(3_000);
@@ -45,8 +44,8 @@
     }
 }
 
-/// New flows go to a dead backend server's agent for as long as balancers believe it alive.
-/// The agent's host dies; probes by two balancers stay unanswered; suspicion runs out.
+/// Guards against new flows that are placed on a dead agent: its host dies, and all processes must
+/// declare it dead soon after their probes go unanswered.
 #[test]
 fn a_dead_process_is_declared_dead_by_all_within_five_seconds() {
     let mut fleet = fleet_of(4, 16, 2);
@@ -60,8 +59,8 @@
     assert!(fleet.gone.iter().all(|(_, dead)| *dead == address(103)));
 }
 
-/// Every flow of a healthy agent is reset because a balancer that was frozen wakes and gives up
-/// everybody: to it, all probes look unanswered. The cause is that its clock jumped, not theirs.
+/// Guards against resets of all flows of healthy agents after a pause of a balancer: to it, all its
+/// probes look unanswered when it resumes.
 #[test]
 fn a_process_that_resumes_after_a_pause_declares_no_peer_dead() {
     let mut fleet = fleet_of(4, 16, 3);
@@ -78,15 +77,15 @@
     assert!(fleet.agrees());
 }
 
-/// A healthy agent's flows are reset: a balancer suspected it, was frozen before it heard the
-/// refutation, and on waking finds the suspicion long run out. It must wait anew first.
+/// Guards against resets of the flows of a healthy agent: a balancer suspects it and is paused
+/// before it receives the refutation. When it resumes, the suspicion must not have timed out.
 #[test]
 fn a_suspicion_does_not_time_out_while_its_holder_is_paused() {
     let mut fleet = fleet_of(4, 16, 8);
     fleet.run_for(8_000);
     fleet.halted.insert(address(105));
     let observer = loop {
-        // The first to suspect it met the silence itself.
+        // The first process that suspects it has an unanswered probe of its own.
         let others = fleet.peers.keys().filter(|peer| **peer != address(105));
         let suspects = others.copied().find(|peer| !fleet.alive(*peer).contains(&address(105)));
         match suspects {
@@ -105,10 +104,9 @@
     assert!(fleet.agrees());
 }
 
-/// A whole failure domain's feeds are reset although its servers are well: the balancers in a
-/// domain that is cut off stop hearing from everybody else and give all of them up.
-/// The cut side must keep its last good view, and when the cut heals nobody inside may be given up
-/// by suspicions that ran out meanwhile.
+/// Guards against resets of all flows in a failure domain that is partitioned: its balancers
+/// receive nothing from the other domains. They must keep their last good view and must not declare
+/// any process dead when the partition heals.
 #[test]
 fn a_partitioned_minority_keeps_its_last_good_view() {
     let mut fleet = fleet_of(6, 12, 4);
@@ -126,8 +124,8 @@
     assert!(fleet.agrees());
 }
 
-/// A healthy suspect is given up though it would answer: two dead ones before it, which are asked
-/// already, take the two places of every tick, and it is never asked again.
+/// Guards against a healthy suspect that is declared dead without another probe: two dead suspects
+/// with pending probes must not use up the two probes of each tick.
 #[test]
 fn suspects_with_pending_probes_do_not_block_probes_of_others() {
     let alive = |number| Rumor { record: agent(number, "intake"), health: Health::Alive };
@@ -150,8 +148,8 @@
     assert!(probed.is_superset(&(1..4).map(address).collect()), "{probed:?}");
 }
 
-/// A healthy agent's flows are reset by a balancer that only heard of its death from another one,
-/// which was cut off from it. Word of a death makes suspect and no more.
+/// Guards against resets of the flows of a healthy agent by a balancer that received a rumor of its
+/// death from a partitioned one. Such a rumor must only make the agent suspect.
 #[test]
 fn a_reported_death_alone_only_causes_suspicion() {
     let record = agent(1, "intake");
@@ -166,8 +164,8 @@
     assert_eq!(actions, [Action::Changed(suspect)]);
 }
 
-/// A flow is carried to a process that does not hold it: a crashed agent was replaced at the same
-/// address, and an old rumor of the earlier run comes late. The greater instance must win.
+/// Guards against flows that are sent to the wrong instance: a crashed agent is replaced at the
+/// same address, and a rumor about the earlier instance arrives late. The later instance must win.
 #[test]
 fn a_later_instance_replaces_an_earlier_one_everywhere() {
     let mut fleet = fleet_of(4, 8, 5);
@@ -185,8 +183,8 @@
     }
 }
 
-/// A process that was frozen wakes after its host gave its address to another; it would go on
-/// serving with authority it no longer has. Word of the later run must stop it.
+/// Guards against a process that continues to serve after it was replaced: it was paused, and a
+/// later instance started at its address. A rumor about that instance must stop it.
 #[test]
 fn a_replaced_process_stops() {
     let mut fleet = fleet_of(3, 4, 6);
@@ -195,7 +193,7 @@
     fleet.start(successor);
     fleet.run_for(5_000);
 
-    // Act: the earlier run is back at the address.
+    // Act: the earlier instance resumes at the address.
     fleet.start(agent(101, "intake"));
     fleet.run_for(5_000);
 
--- a/crates/nutmegkeel_core/tests/placement.rs
+++ b/crates/nutmegkeel_core/tests/placement.rs
@@ -61,8 +61,8 @@
     }
 }
 
-/// New flows go into the void: their agent's host died, and nobody has given it up yet.
-/// A suspect gets no new flow while another agent is trusted.
+/// Guards against new flows on an agent whose host died and that is not declared dead yet: a
+/// suspect must get no new flow while another agent is not suspect.
 #[test]
 fn a_suspect_gets_no_new_flow() {
     let mut pool = pool(3);
@@ -75,7 +75,8 @@
     assert_eq!(counts.get(&address(1)), None);
 }
 
-/// Two agents of five are suspect and rank first for many flows; they must rank behind the others.
+/// Guards against flows on suspect agents whose hashes rank first: with two of five agents suspect,
+/// all flows must go to the other three.
 #[test]
 fn suspects_rank_behind_all_others_under_every_rule() {
     let mut pool = pool(5);
@@ -94,9 +95,9 @@
     }
 }
 
-/// The two packets of one large opening come by two balancers, whose reports differ a little, and
-/// are placed apart: the handshake stalls until they are sent again. Within the tolerance of the
-/// class's target a flow stays with its first candidate.
+/// Guards against a handshake that stalls until a retransmission: the two packets of a large
+/// opening reach two balancers whose reports differ slightly and that place them on different
+/// agents. Within the tolerance of the class's target a flow must stay with its first candidate.
 #[test]
 fn small_load_differences_do_not_change_the_placement() {
     let (mut one, mut other) = (pool(7), pool(7));
@@ -113,7 +114,8 @@
     }
 }
 
-/// Every agent is suspect, so the observer is the likelier fault: flows must still be placed.
+/// Guards against flows that are not placed when all agents are suspect. The connection of the
+/// balancer itself is then the more likely fault.
 #[test]
 fn flows_are_placed_when_all_agents_are_suspect() {
     let mut pool = Pool::default();
@@ -126,8 +128,8 @@
     assert_eq!(placed(&mut pool, RULE, 300).len(), 3);
 }
 
-/// Status checks hang at one desk while others are idle: a report of no load was old, and every
-/// balancer sent its new flows there until the next report. Own placements must count meanwhile.
+/// Guards against a thundering herd: an agent's last report shows no load, so every balancer places
+/// its new flows there until the next report. A balancer's own placements must count as load.
 #[test]
 fn a_stale_report_of_no_load_does_not_attract_all_flows() {
     let mut pool = pool(7);
@@ -142,7 +144,7 @@
     assert!(on_idle < 2_000 * 2 / 7, "{on_idle} of 2000 flows went to the idle agent");
 }
 
-/// A report of an earlier run says nothing about the run that replaced it.
+/// Guards against a load report of an earlier instance that is applied to its successor.
 #[test]
 fn a_report_of_an_earlier_instance_is_ignored() {
     let mut pool = pool(1);
--- a/crates/nutmegkeel_core/tests/soak.rs
+++ b/crates/nutmegkeel_core/tests/soak.rs
@@ -1,12 +1,13 @@
-//! Random runs of a fleet with fixed seeds; `cargo dev soak` makes longer ones.
+//! Random faults in a simulated fleet with fixed seeds; `cargo dev soak` runs longer simulations.
 
 use nutmegkeel_fake::soak;
 use quickcheck::{Gen, QuickCheck};
 
 const FAULTS: usize = 25;
 
-/// Kills, freezes, cuts, losses, restarts and changes in any mixture: nobody who is well is given
-/// up, no configuration reverts, and when the faults end everybody agrees.
+/// Checks under any mix of crashes, pauses, partitions, packet loss, restarts and configuration
+/// changes that no healthy process is declared dead, that no configuration reverts, and that all
+/// processes agree after the faults end.
 fn invariants_hold(seed: u64) -> bool {
     match soak::run(seed, FAULTS) {
         Ok(()) => true,
--- a/crates/nutmegkeel_core/tests/tombstone.rs
+++ b/crates/nutmegkeel_core/tests/tombstone.rs
@@ -1,4 +1,4 @@
-//! Runs of agents that are over, and those that only seemed to be.
+//! Instances of agents that have ended or were wrongly declared dead.
 
 use nutmegkeel_core::member::Instance;
 use nutmegkeel_core::tombstone::Tombstones;
@@ -15,8 +15,8 @@
     assert!(!tombstones.is_ended(address(2), Instance::new(4)));
 }
 
-/// Every packet of a healthy agent's flows is answered with a reset for as long as the balancer
-/// runs: it had given the agent up while one of them was cut off, and never took that back.
+/// Guards against permanent resets of all flows of a healthy agent: the balancer declared it dead
+/// during a network partition and must undo that when the agent refutes its death.
 #[test]
 fn an_instance_that_refuted_its_death_is_not_ended() {
     let mut tombstones = Tombstones::default();
--- a/crates/nutmegkeel_store/src/batch.rs
+++ b/crates/nutmegkeel_store/src/batch.rs
@@ -86,7 +86,10 @@
             let number = |entry: &Entry| self.known(&entry.key).map_or(0, |known| known.number);
             return Ok(entries.iter().map(|entry| (entry.key.clone(), number(entry))).collect());
         }
-        Err(Fault::NotSent(format!("`{}` is written by others too", self.prefix)))
+        Err(Fault::NotSent(format!(
+            "keys with prefix `{}` were changed by another writer",
+            self.prefix
+        )))
     }
 
     /// Reads the keys again and commits. Needed if a key is not in the known state because an
--- a/crates/nutmegkeel_store/src/claims.rs
+++ b/crates/nutmegkeel_store/src/claims.rs
@@ -17,8 +17,8 @@
     request: u64,
 }
 
-/// Writes claims under a lease of its own, so that each is kept for at least [`RETENTION_MS`] and at
-/// most twice as long.
+/// Writes claims under a lease of its own, so that each is kept for at least [`RETENTION_MS`] and
+/// at most twice as long.
 #[derive(Debug, Default)]
 pub struct Writer {
     lease: Option<(Lease, Time)>,
@@ -85,7 +85,7 @@
 }
 
 /// Resolves one claim whose batch did not commit or got no answer: reads the claim back and creates
-/// it if it does not exist. The stored value tells whether this request or another one created it.
+/// it if it does not exist. The stored value shows whether this request or another one created it.
 fn resolve(store: &dyn Store, claim: &Claim, lease: Lease) -> Outcome {
     match store.get(&key(claim)) {
         Ok(Some(pair)) => compare_owner(claim, &pair.value),
--- a/crates/nutmegkeel_store/src/etcd.rs
+++ b/crates/nutmegkeel_store/src/etcd.rs
@@ -84,7 +84,7 @@
 }
 
 fn number<N: std::str::FromStr>(text: &str) -> Result<N, Fault> {
-    text.parse().map_err(|_| Fault::Lost(format!("`{text}` is no number")))
+    text.parse().map_err(|_| Fault::Lost(format!("`{text}` is not a number")))
 }
 
 #[derive(Serialize)]
--- a/crates/nutmegkeel_store/src/http.rs
+++ b/crates/nutmegkeel_store/src/http.rs
@@ -2,7 +2,7 @@
 
 use crate::kv::Fault;
 
-/// Returns the fault of a failed call, which tells whether the call may have taken effect.
+/// Returns the fault of a failed call, which states whether the call may have taken effect.
 #[must_use]
 pub fn fault(error: ureq::Error) -> Fault {
     match error {
--- a/crates/nutmegkeel_store/src/kv.rs
+++ b/crates/nutmegkeel_store/src/kv.rs
@@ -118,7 +118,7 @@
     /// Commits all writes in one transaction.
     ///
     /// # Errors
-    /// If the platform does not answer. The verdict of the fault tells whether the writes may have
+    /// If the platform does not answer. The verdict of the fault states whether the writes may have
     /// taken effect.
     fn commit(&self, writes: &[Write]) -> Result<Committed, Fault>;
 
@@ -225,6 +225,8 @@
     write.expected = Expected::unchanged(store.get(&write.key)?.map(|pair| pair.revision));
     match store.commit(std::slice::from_ref(&write))? {
         Committed::Written(revision) => Ok(revision),
-        Committed::Differs => Err(Fault::NotSent(format!("`{}` is written by another", write.key))),
+        Committed::Differs => {
+            Err(Fault::NotSent(format!("`{}` was changed by another process", write.key)))
+        }
     }
 }
--- a/crates/nutmegkeel_store/tests/batch.rs
+++ b/crates/nutmegkeel_store/tests/batch.rs
@@ -1,4 +1,4 @@
-//! Many keys of many owners, written by few processes.
+//! Keys of many owners, written in batches by a few processes.
 
 use nutmegkeel_core::clock::Time;
 use nutmegkeel_fake::store::{Fate, Leased};
@@ -47,8 +47,9 @@
     assert_eq!((written.len(), store.writes()), (20, 2));
 }
 
-/// Clients of a host that lost power wait for their timeouts: its newest list of flows was replaced by an
-/// older one. The host had handed the older one to a writer that stood still, and the newer one to another.
+/// Guards against an older list of flows replacing a newer one, so that clients of a failed host
+/// wait for their timeouts: the host passed the older list to a writer that was paused and the
+/// newer one to another writer.
 #[test]
 fn an_older_value_never_replaces_a_newer_one() {
     let store = Leased::open(Vec::new());
@@ -62,8 +63,8 @@
     assert_eq!(written, vec![(entry(1, 3).key, 3)]);
 }
 
-/// The lists of a whole failure domain are never written again: one answer of the store was lost, and from
-/// then on no key is as the writer knows it.
+/// Guards against lists of a failure domain that are never written again after one lost answer:
+/// from then on the keys have revisions that the writer does not know.
 #[test]
 fn a_lost_answer_does_not_stop_later_writes() {
     let store = Leased::open(Vec::new());
@@ -79,7 +80,7 @@
     assert_eq!((value(&store, 1), value(&store, 2)), (Some(3), Some(2)));
 }
 
-/// One owner that writes by itself must not keep the others' lists out of the store.
+/// Guards against one owner that writes its own key and thereby blocks the writes for all others.
 #[test]
 fn an_owner_that_wrote_by_itself_does_not_stop_the_others() {
     let store = Leased::open(Vec::new());
@@ -116,7 +117,8 @@
     assert_eq!(store.grants(), 2);
 }
 
-/// Guards against lists that are taken for written though the store came back from a copy without them.
+/// Guards against lists that count as written although the store was restored from a copy without
+/// them.
 #[test]
 fn a_writer_reads_again_after_the_store_was_restored() {
     let store = Leased::open(Vec::new());
--- a/crates/nutmegkeel_store/tests/claims.rs
+++ b/crates/nutmegkeel_store/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of keyed requests when the platform loses answers, is down, or knows the key already.
+//! Claims when the platform loses answers, is unavailable or already has the key.
 
 use nutmegkeel_core::admission::Id;
 use nutmegkeel_core::claim::{Claim, Ledger, Name, Outcome, Settled};
@@ -34,51 +34,52 @@
     assert_eq!(store.writes(), 1);
 }
 
-/// A filing runs twice: its caller sent it again on a new flow after the first agent died, and the
-/// second agent had never seen the key.
+/// Guards against a request that runs twice: its caller repeats it on a new flow after the first
+/// agent died, and the second agent has never seen the key.
 #[test]
 fn a_key_that_another_agent_claimed_is_theirs() {
     let store = Memory::default();
-    write(&store, &[claim(1, 7, "filing 1")]);
+    write(&store, &[claim(1, 7, "key 1")]);
 
-    let outcomes = write(&store, &[claim(2, 1, "filing 2"), claim(2, 2, "filing 1")]);
+    let outcomes = write(&store, &[claim(2, 1, "key 2"), claim(2, 2, "key 1")]);
 
     assert_eq!(outcomes, [Outcome::Ours, Outcome::Theirs]);
 }
 
-/// The same key arrives on two flows of one agent and both requests are in one group.
+/// Guards against a request that runs twice: it arrives with the same key on two flows of one
+/// agent, and both claims are in one batch.
 #[test]
 fn a_key_twice_in_one_batch_is_ours_once() {
     let store = Memory::default();
 
-    let outcomes = write(&store, &[claim(1, 1, "filing"), claim(1, 2, "filing")]);
+    let outcomes = write(&store, &[claim(1, 1, "key"), claim(1, 2, "key")]);
 
     assert_eq!(outcomes, [Outcome::Ours, Outcome::Theirs]);
 }
 
-/// A filing is refused although its claim was written, and can never run: the platform's answer
-/// was lost after the write took effect. Reading it back shows that the claim is ours.
+/// Guards against a request that is refused although its claim was written, and can never run: the
+/// answer to the write was lost. Reading the claim back must show that it is its own.
 #[test]
 fn a_lost_answer_is_resolved_by_reading_back() {
     let store = Memory::open(vec![Fate::Answered, Fate::AnswerLost]);
 
-    assert_eq!(write(&store, &[claim(1, 1, "filing")]), [Outcome::Ours]);
+    assert_eq!(write(&store, &[claim(1, 1, "key")]), [Outcome::Ours]);
 }
 
 #[test]
 fn a_lost_call_is_repeated() {
     let store = Memory::open(vec![Fate::Answered, Fate::CallLost]);
 
-    assert_eq!(write(&store, &[claim(1, 1, "filing")]), [Outcome::Ours]);
+    assert_eq!(write(&store, &[claim(1, 1, "key")]), [Outcome::Ours]);
     assert_eq!(store.writes(), 1);
 }
 
-/// The platform goes away between the lost answer and the reading back. The claim may exist, so
-/// the filing must not run; nobody may say that it did.
+/// Guards against a request that runs without a confirmed claim: the platform becomes unavailable
+/// between the lost answer and the read. The request must be refused as not run.
 #[test]
 fn a_claim_in_doubt_does_not_run() {
     let store = Memory::open(vec![Fate::Answered, Fate::AnswerLost, Fate::CallLost]);
-    let claim = claim(1, 1, "filing");
+    let claim = claim(1, 1, "key");
     let mut ledger = Ledger::default();
     ledger.request(claim, DEADLINE);
     let batch = ledger.next_batch().expect("one claim waits");
@@ -94,15 +95,15 @@
 fn a_platform_that_is_down_writes_nothing() {
     let store = Memory::open(vec![Fate::NotSent]);
 
-    assert_eq!(write(&store, &[claim(1, 1, "filing")]), [Outcome::NotWritten]);
+    assert_eq!(write(&store, &[claim(1, 1, "key")]), [Outcome::NotWritten]);
 }
 
-/// A filing runs twice: its agent was frozen between claim and start for so long that the platform
-/// forgot the claim and another agent claimed the key. On waking the first one still held "ours".
+/// Guards against a request that runs twice: its agent is paused between claim and start for so
+/// long that the platform removes the claim and another agent claims the key.
 #[test]
 fn a_claimed_request_does_not_run_after_its_deadline() {
     let mut ledger = Ledger::default();
-    ledger.request(claim(1, 1, "filing"), DEADLINE);
+    ledger.request(claim(1, 1, "key"), DEADLINE);
     ledger.next_batch();
 
     let settled = ledger.written(DEADLINE.after(1), &[Outcome::Ours]);
@@ -110,12 +111,12 @@
     assert_eq!(settled, [Settled::NotRun(Id(1))]);
 }
 
-/// A caller sends its filing again; the second request with the key finds the first one's claim
-/// and must be told that the filing may have run.
+/// Guards against a repeated request that runs again or is reported as not run although the first
+/// one with the same key may have run.
 #[test]
 fn a_key_claimed_before_is_not_run_again() {
     let mut ledger = Ledger::default();
-    ledger.request(claim(1, 1, "filing"), DEADLINE);
+    ledger.request(claim(1, 1, "key"), DEADLINE);
     ledger.next_batch();
 
     let settled = ledger.written(Time::ZERO, &[Outcome::Theirs]);
@@ -135,11 +136,12 @@
     assert_eq!(ledger.next_batch().map(|batch| batch.len()), Some(1));
 }
 
-/// A caller went away while its claim was in flight; its request must not start any more.
+/// Guards against a request that starts although its caller cancelled it while its claim was in
+/// flight.
 #[test]
 fn a_request_cancelled_during_its_claim_does_not_run() {
     let mut ledger = Ledger::default();
-    ledger.request(claim(1, 1, "filing"), DEADLINE);
+    ledger.request(claim(1, 1, "key"), DEADLINE);
     ledger.next_batch();
     ledger.cancel(Id(1));
 
--- a/crates/nutmegkeel_store/tests/classes.rs
+++ b/crates/nutmegkeel_store/tests/classes.rs
@@ -1,4 +1,4 @@
-//! An operator's change when answers are lost, the platform is down, or two operators race.
+//! Changes of classes when answers are lost, the platform is unavailable or two operators race.
 
 use std::cell::Cell;
 
@@ -39,7 +39,7 @@
 }
 
 fn concurrent_write(leave_within_ms: u64) -> Fate {
-    let value = Value { target: Some(target(leave_within_ms)), changes: vec!["rival".into()] };
+    let value = Value { target: Some(target(leave_within_ms)), changes: vec!["other".into()] };
     let value = serde_json::to_vec(&value).expect("a value is JSON");
     Fate::AfterRival(format!("{PREFIX}intake"), value)
 }
@@ -54,8 +54,9 @@
     assert_eq!(stored(&store)[0].target, Some(target(900)));
 }
 
-/// An operator is told that the change failed and makes it again, over a colleague's change in
-/// between: the answer was lost after the write took effect. Its identity inside the value tells.
+/// Guards against a change that is reported as failed although it was written, because the answer
+/// was lost. The operator would repeat it and overwrite another operator's change. The identifier
+/// in the stored value shows that it was written.
 #[test]
 fn a_lost_answer_is_resolved_and_written_once() {
     let store = Memory::open(vec![Fate::Answered, Fate::AnswerLost]);
@@ -66,8 +67,9 @@
     assert_eq!(store.writes(), 1);
 }
 
-/// Two operators change the same class; the later one silently undoes the earlier one's change.
-/// One must win, and the other must learn the revision that it lost to.
+/// Guards against a change that silently overwrites another operator's change. One of two
+/// concurrent changes must win, and the other must end with a conflict and the revision of the
+/// winner.
 #[test]
 fn one_of_two_concurrent_changes_gets_a_conflict() {
     let store = Memory::open(vec![Fate::Answered, concurrent_write(700)]);
@@ -78,8 +80,8 @@
     assert_eq!(stored(&store)[0].target, Some(target(700)));
 }
 
-/// The answer was lost, and a colleague's change came on top before it was read back. The lost
-/// change did take effect, and what is in force now is the colleague's.
+/// Guards against a written change that is reported as a conflict: its answer was lost, and another
+/// change replaced it before it was read back. The target in force is that of the later change.
 #[test]
 fn a_lost_change_that_was_replaced_counts_as_accepted() {
     let first = request("a", 900, Some(0));
@@ -88,7 +90,7 @@
     assert!(matches!(swap, Action::Swap(Revision(0), _)));
     state.handle(Time::ZERO, Event::Lost);
     let replaced = Stored {
-        value: Value { target: Some(target(700)), changes: vec!["rival".into(), "a".into()] },
+        value: Value { target: Some(target(700)), changes: vec!["other".into(), "a".into()] },
         revision: Revision(2),
     };
 
@@ -125,7 +127,7 @@
     assert_eq!(change(&store, request("a", 900, Some(0))), Action::MayHaveRun);
 }
 
-/// One step of one of two operators, and what befalls its call.
+/// One step of one of two operators and the fate of its call.
 #[derive(Clone, Debug)]
 struct Step {
     operator: usize,
@@ -144,9 +146,9 @@
     }
 }
 
-/// Two operators race for one class, their calls interleaved and befallen by anything. Whatever
-/// they are told is true: accepted means written, conflict and "not run" mean never written, and
-/// with the same expected revision at most one of them is accepted.
+/// Checks for any interleaving of two operators' calls and any faults that the results are true:
+/// an accepted change was written, one that ended with a conflict or "not run" was never written,
+/// and with the same expected revision at most one change is accepted.
 fn verdicts_are_true(steps: Vec<Step>) -> bool {
     let store = Memory::default();
     let deadline = Time::from_millis(DEADLINE_MS);
--- a/crates/nutmegkeel_store/tests/document.rs
+++ b/crates/nutmegkeel_store/tests/document.rs
@@ -1,4 +1,4 @@
-//! A key that one process writes again and again.
+//! A key that one process overwrites repeatedly.
 
 use nutmegkeel_core::clock::Time;
 use nutmegkeel_fake::store::{Fate, Leased};
@@ -31,8 +31,8 @@
     assert_eq!(read, Ok(Some(b"two".to_vec())));
 }
 
-/// A host comes back before its predecessor's list was read: the store was away. Its own lists must
-/// get through all the same.
+/// Guards against a host whose lists are never written: it restarts while the store is unavailable,
+/// so it has not read the list of its predecessor.
 #[test]
 fn a_document_that_was_never_read_is_overwritten() {
     let store = Leased::open(Vec::new());
@@ -43,8 +43,8 @@
     assert_eq!(value(&store), Some(b"new".to_vec()));
 }
 
-/// The answer to a write was lost, though it took effect. The next write meets a revision that it does
-/// not know.
+/// Guards against writes that fail forever after a lost answer: that write took effect, so the key
+/// has a revision that the document does not know.
 #[test]
 fn a_lost_answer_does_not_stop_later_writes() {
     let store = Leased::open(Vec::new());
@@ -60,7 +60,7 @@
     assert_eq!(value(&store), Some(b"three".to_vec()));
 }
 
-/// Every agent costs the store a lease, those too that have nothing to note.
+/// Guards against leases for agents that have nothing to store.
 #[test]
 fn a_document_that_was_never_written_takes_no_lease() {
     let store = Leased::open(Vec::new());
--- a/crates/nutmegkeel_store/tests/registration.rs
+++ b/crates/nutmegkeel_store/tests/registration.rs
@@ -1,4 +1,4 @@
-//! A process's entry in the store.
+//! Registration of a process in the store.
 
 use nutmegkeel_core::clock::Time;
 use nutmegkeel_fake::store::{Fate, Leased};
@@ -6,7 +6,7 @@
 use nutmegkeel_store::registration::{RENEW_MS, Registration};
 
 fn entry() -> Registration {
-    Registration::open("balancers/10.0.0.1".to_owned(), b"osu".to_vec())
+    Registration::open("balancers/10.0.0.1".to_owned(), b"value".to_vec())
 }
 
 fn at(millis: u64) -> Time {
@@ -35,8 +35,8 @@
     assert_eq!(store.writes(), 2);
 }
 
-/// Guards against restarts that cost the store twice the calls of a first start, because the entry of the
-/// process before is still there.
+/// Guards against restarts that cost twice the calls of a first start because the entry of the
+/// predecessor still exists.
 #[test]
 fn a_restart_costs_no_more_calls_than_a_start() {
     let store = Leased::open(Vec::new());
@@ -48,7 +48,8 @@
     assert_eq!(store.calls() - first, first);
 }
 
-/// Guards against a store that pays for a write with each process that comes or goes.
+/// Guards against a write to the store for each change of the value, which changes with each
+/// process that joins or leaves.
 #[test]
 fn a_value_that_changes_often_is_written_rarely() {
     let store = Leased::open(Vec::new());
@@ -64,8 +65,8 @@
     assert_eq!(pairs[0].value, b"10000");
 }
 
-/// The store was down longer than the lease. Others find the process again by its entry, which is
-/// written with a new lease at the first call that is answered.
+/// Guards against a process that others cannot find after the store was unavailable for longer than
+/// its lease. Its entry must be written with a new lease at the first call that is answered.
 #[test]
 fn an_expired_entry_is_written_again() {
     let store = Leased::open(Vec::new());
@@ -78,8 +79,8 @@
     assert_eq!(store.writes(), 2);
 }
 
-/// Guards against a process that nobody finds after the store came back from a copy that lacks its entry: the
-/// renewal of a lease that another process has now would succeed.
+/// Guards against a process that others cannot find after the store was restored from a copy
+/// without its entry: renewing its lease would succeed because another process has that lease now.
 #[test]
 fn an_entry_is_written_again_after_the_store_was_restored() {
     let store = Leased::open(Vec::new());
--- a/crates/nutmegkeel_wire/src/frame.rs
+++ b/crates/nutmegkeel_wire/src/frame.rs
@@ -97,7 +97,7 @@
     #[error("frame authentication failed")]
     Mac,
     /// The frame was sent too long ago, or the clocks of both hosts differ too much.
-    #[error("frame is {0} ms away from this clock")]
+    #[error("time stamp of frame differs from the clock by {0} ms")]
     Stale(u64),
     /// The header cannot be decoded.
     #[error("frame header is malformed")]
--- a/crates/nutmegkeel_wire/src/l4.rs
+++ b/crates/nutmegkeel_wire/src/l4.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
     /// The datagram is empty or has another version.
-    #[error("no datagram of this version")]
+    #[error("datagram is empty or has another version")]
     Version,
     /// The message cannot be decoded.
     #[error("message cannot be decoded")]
--- a/crates/nutmegkeel_wire/src/reset.rs
+++ b/crates/nutmegkeel_wire/src/reset.rs
@@ -49,8 +49,8 @@
     }
 }
 
-/// Returns the reset that ends the flow of `cid`, in answer to a packet of `trigger_length` bytes, or
-/// `None` if that packet is too short.
+/// Returns the reset that ends the flow of `cid`, in answer to a packet of `trigger_length` bytes,
+/// or `None` if that packet is too short.
 ///
 /// A reset is shorter than the packet that it answers, so that two endpoints cannot answer each
 /// other's resets in an endless loop.
--- a/crates/nutmegkeel_wire/tests/checkpoint.rs
+++ b/crates/nutmegkeel_wire/tests/checkpoint.rs
@@ -1,4 +1,4 @@
-//! Lists of flows as they lie in the store.
+//! Encoding of lists of flows in the store.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/crates/nutmegkeel_wire/tests/frame.rs
+++ b/crates/nutmegkeel_wire/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames and connection IDs that are forged, damaged, late or meant for another class.
+//! Frames, connection IDs and resets, including forged, malformed, replayed and misdirected ones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -90,7 +90,8 @@
     assert_eq!(late, Err(Fault::Stale(MAX_SKEW_MS + 1)));
 }
 
-/// Every flow breaks when the key is rotated. Old and new key are accepted while only one is used.
+/// Guards against flows that break during a key rotation: the old and the new key must be accepted
+/// while only one is used for sending.
 #[test]
 fn a_rotation_refuses_no_frame_and_no_connection_id() {
     let both = ring(&[(1, 'a'), (2, 'b')], 2);
@@ -103,8 +104,8 @@
     assert_eq!(cid::decode(&only_new, class, &id), Err(cid::Fault::Key(1)));
 }
 
-/// A packet for the records intake desk reaches the records vault: its connection ID was issued
-/// for one class and presented at the address of another.
+/// Guards against packets that reach a backend server of another class: a connection ID issued for
+/// one class is used at the address of another.
 #[test]
 fn a_connection_id_of_another_class_is_refused() {
     let id = cid::encode(&old_ring(), class::Id::of("intake"), hop(), 5).expect("fits");
@@ -137,7 +138,7 @@
     assert!(reset::packet(&old_ring(), &id, 22, 1).is_some());
 }
 
-/// Random bytes from anywhere must be refused without a panic.
+/// Checks that random bytes are refused without a panic.
 fn refused(bytes: Vec<u8>) -> bool {
     let class = class::Id::of("intake");
     let mut framed = vec![1, 1];
--- a/crates/nutmegkeel_wire/tests/l4.rs
+++ b/crates/nutmegkeel_wire/tests/l4.rs
@@ -1,4 +1,4 @@
-//! Datagrams between balancers and agents.
+//! Encoding of datagrams between balancers and agents.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -47,22 +47,22 @@
     QuickCheck::new().tests(5_000).quickcheck(decodes_without_panic as fn(Vec<u8>) -> bool);
 }
 
-/// The first byte of every datagram.
+/// Returns the version byte of a datagram.
 fn version() -> [u8; 1] {
     let mut datagram = Vec::new();
     encode(&declined(), b"", &mut datagram);
     [datagram[0]]
 }
 
-/// Orders for so many failure domains.
+/// Returns orders to evacuate this number of failure domains.
 fn evacuated(domains: u8) -> Orders {
     let name = |number| format!("a-failure-domain-with-long-name-{number}").into();
     let revision = Revision { era: Era(1_000), number: u64::MAX >> 20 };
     Orders { revision, domains: (0..domains).map(name).collect() }
 }
 
-/// Lists of open flows, addresses, and the agents of a whole failure domain, vanish on their way: the reader's buffer
-/// is shorter than the datagram.
+/// Guards against lists of flows, summaries and rosters that are lost because their datagram is
+/// longer than the buffer of the receiver.
 #[test]
 fn the_longest_messages_fit_into_a_datagram() {
     let end = |number: u16| SocketAddrV4::new(Ipv4Addr::new(203, 0, 113, 200), 60_000 + number);
