--- a/crates/nutmegkeel_core/src/membership.rs
+++ b/crates/nutmegkeel_core/src/membership.rs
@@ -32,8 +32,8 @@
     pub answer_timeout_ms: u64,
     /// Time until a suspect is declared dead, in milliseconds.
     pub suspicion_timeout_ms: u64,
-    /// Time until a suspect is declared dead without the evidence that is needed earlier, in
-    /// milliseconds.
+    /// Time after which a suspect is declared dead even if many processes are suspect at once or
+    /// there is too little evidence that the connection of this process works, in milliseconds.
     pub max_suspicion_ms: u64,
     /// Number of other processes asked to repeat a probe.
     pub indirect_probes: usize,
@@ -123,7 +123,7 @@
     Superseded,
 }
 
-/// Result of a probe in turn.
+/// Outcome of a scheduled probe.
 #[derive(Clone, Copy, Debug)]
 struct Outcome {
     sent: Time,
@@ -143,8 +143,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Request {
     target: SocketAddr,
-    /// Whether the target was chosen in turn and not because it is suspect. Only these probes are a
-    /// fair sample of the fleet.
+    /// Whether the target was chosen in turn and not because it is suspect. Only outcomes of these
+    /// probes count as evidence, because they are an unbiased sample of the fleet.
     is_scheduled: bool,
     /// The process that asked for this probe, and the number of its own probe.
     requested_by: Option<(SocketAddr, u64)>,
@@ -324,9 +324,10 @@
         actions
     }
 
-    /// Guards against healthy peers being declared dead after this process was paused: all its
-    /// probes would look unanswered and all its suspicions timed out. After a pause it drops all
-    /// pending probes and restarts all suspicions.
+    /// Drops all pending probes and restarts all suspicions if this process was paused.
+    ///
+    /// Guards against healthy peers being declared dead after a pause: all probes of this process
+    /// would look unanswered, and all its suspicions would have timed out.
     fn detect_pause(&mut self, now: Time) {
         let paused = self.last_tick.is_some_and(|last| now.since(last) > PAUSE_THRESHOLD_MS);
         self.last_tick = Some(now);
@@ -418,8 +419,8 @@
         }
     }
 
-    /// Returns the rumor that the process at `address` must refute if it is held suspect or dead
-    /// here.
+    /// Returns the rumor that the process at `address` must refute if it is suspect or dead in this
+    /// view.
     fn unhealthy_belief(&self, address: SocketAddr) -> Option<Rumor> {
         let belief = self.beliefs.get(address)?;
         (belief.rumor.health > Health::Alive).then(|| belief.rumor.clone())
@@ -496,9 +497,10 @@
         actions.push(Action::Changed(rumor));
     }
 
-    /// Applies a rumor about this process. It refutes a suspicion or death by raising its version.
-    /// A later instance at its address means that it was replaced, for instance while it was
-    /// paused.
+    /// Applies a rumor about this process.
+    ///
+    /// The process refutes a rumor that it is suspect or dead by raising its version. A later
+    /// instance at its address means that it was replaced, for instance while it was paused.
     fn apply_about_self(&mut self, rumor: &Rumor, actions: &mut Vec<Action>) {
         if rumor.record.instance > self.me.instance {
             actions.push(Action::Superseded);
--- a/crates/nutmegkeel_core/src/return_path.rs
+++ b/crates/nutmegkeel_core/src/return_path.rs
@@ -11,8 +11,7 @@
 pub const SWITCH_AFTER_MS: u64 = 300;
 /// How long a path is kept after the last packet of its caller, in milliseconds.
 const RETENTION_MS: u64 = 120_000;
-/// Maximum number of paths. Beyond it, the path of the caller that was last seen the longest time
-/// ago is evicted.
+/// Maximum number of paths. Beyond it, the path of the least recently seen caller is evicted.
 const MAX_CALLERS: usize = 16_384;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/nutmegkeel_store/src/batch.rs
+++ b/crates/nutmegkeel_store/src/batch.rs
@@ -33,7 +33,7 @@
 
 /// Writer of the keys with one prefix.
 ///
-/// Several writers may be active at once, for instance when each holds the other for dead. The
+/// Several writers may be active at once, for instance when each considers the other dead. The
 /// conditions of the writes and the sequence numbers in the values keep them consistent.
 #[derive(Debug)]
 pub struct Writer {
--- a/crates/nutmegkeel_store/src/registration.rs
+++ b/crates/nutmegkeel_store/src/registration.rs
@@ -6,8 +6,8 @@
 use crate::kv::{Committed, Expected, Fault, Lease, Pair, Registry, Write};
 use crate::lease::Holder;
 
-/// Duration of the lease, in seconds. Other processes remove a process that sends nothing within
-/// 12 s on their own, so a shorter lease would only cost more renewals.
+/// Duration of the lease, in seconds. Other processes detect a failed process by themselves within
+/// 12 s, so a shorter lease would only cost more renewals.
 pub const LEASE_S: u64 = 8;
 
 /// Interval between two renewals, in milliseconds. Three fit into the duration of the lease, so one
@@ -38,8 +38,8 @@
         Self { key, value, lease: Holder::open(LEASE_S, RENEW_MS), written: None }
     }
 
-    /// Sets the value of the entry, unless the entry was written less than [`REWRITE_MS`] ago. The
-    /// next step writes a value that differs.
+    /// Sets the value of the entry, unless the entry was written less than 5 s ago. The next step
+    /// writes the value if it differs.
     pub fn set_value(&mut self, now: Time, value: Vec<u8>) {
         if self.value == value || self.written.is_some_and(|at| now.since(at) < REWRITE_MS) {
             return;
