--- a/crates/nutmegkeel_core/src/balancer.rs
+++ b/crates/nutmegkeel_core/src/balancer.rs
@@ -185,14 +185,14 @@
     ///
     /// The failure of an agent shows on the data path before its turn to be probed comes.
     fn probe_unanswered(&mut self, now: Time) -> Vec<peer::Action> {
-        let silent: Vec<SocketAddr> = self
+        let overdue: Vec<SocketAddr> = self
             .unanswered
             .iter()
             .filter(|(_, since)| now.since(**since) > ANSWER_TIMEOUT_MS)
             .map(|(address, _)| *address)
             .collect();
         let mut actions = Vec::new();
-        for address in silent {
+        for address in overdue {
             self.unanswered.remove(&address);
             actions.extend(self.peer.probe_now(now, address));
         }
--- a/crates/nutmegkeel_core/src/membership.rs
+++ b/crates/nutmegkeel_core/src/membership.rs
@@ -273,10 +273,10 @@
                 self.ping(now, Request { target, is_scheduled: false, requested_by }, &mut actions);
             }
             Message::Join(record) => {
-                let newcomer = record.address;
+                let sender = record.address;
                 let rumor = Rumor { record, health: Health::Alive };
                 self.apply_and_spread(now, rumor, &mut actions);
-                self.send_view(newcomer, &mut actions);
+                self.send_view(sender, &mut actions);
             }
             Message::Pull => self.send_view(from, &mut actions),
             Message::View(rumors) => {
@@ -506,12 +506,12 @@
             actions.push(Action::Superseded);
             return;
         }
-        let of_this_run = rumor.record.instance == self.me.instance;
+        let is_same_instance = rumor.record.instance == self.me.instance;
         let is_unhealthy = rumor.health > Health::Alive && rumor.record.version >= self.me.version;
-        if of_this_run && is_unhealthy {
+        if is_same_instance && is_unhealthy {
             self.me.version = rumor.record.version + 1;
             self.spread_self();
-        } else if !of_this_run {
+        } else if !is_same_instance {
             self.spread_self();
         }
     }
--- a/crates/nutmegkeel_core/src/placement.rs
+++ b/crates/nutmegkeel_core/src/placement.rs
@@ -278,8 +278,8 @@
             SocketAddr::V4(v4) => u64::from(v4.ip().to_bits()) << 16 | u64::from(v4.port()),
             SocketAddr::V6(v6) => (v6.ip().to_bits() as u64) ^ u64::from(v6.port()),
         };
-        let run = u64::from(candidate.instance.number());
-        Self { trusted: !candidate.suspect, weight: mix(key.0 ^ mix(seed ^ run << 48)) }
+        let instance = u64::from(candidate.instance.number());
+        Self { trusted: !candidate.suspect, weight: mix(key.0 ^ mix(seed ^ instance << 48)) }
     }
 }
 
