--- a/crates/nutmegkeel_core/src/admission.rs
+++ b/crates/nutmegkeel_core/src/admission.rs
@@ -1,4 +1,5 @@
-//! Limits of one backend server: slots, open flows, and a queue that admits only what can finish.
+//! Admission control for one backend server: a concurrency limit and a queue that admits only
+//! requests that can finish before their deadline.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,27 +10,27 @@
 use crate::clock::Time;
 use crate::retry;
 
-/// Number of a request at one agent.
+/// Identifies a request at one agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Id(pub u64);
 
-/// Why a request was refused. None of these has run.
+/// Why a request was refused. A refused request has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reason {
     /// The queue is full, or the request could not finish before its deadline.
     Busy,
-    /// Its deadline passed while it waited.
+    /// The request can no longer finish before its deadline.
     Late,
-    /// The backend server is leaving or not there.
+    /// The backend server is not available.
     Unavailable,
 }
 
-/// What the gate decided.
+/// A decision of the gate about one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decision {
     /// Send it to the backend server now.
     Start(Id),
-    /// Final answer: not run, ask again after so many milliseconds.
+    /// Refuse it without running it; the caller may retry after this number of milliseconds.
     Refuse(Id, Reason, u64),
 }
 
@@ -40,7 +41,8 @@
     deadline: Time,
 }
 
-/// Counts what was sent to the backend server and decides what starts, waits or is refused.
+/// Counts the requests in progress at the backend server and decides which requests start, wait
+/// or are refused.
 #[derive(Debug)]
 pub struct Gate {
     slots: u32,
@@ -48,19 +50,20 @@
     ramp_percent: u64,
     running: BTreeMap<Id, Time>,
     queue: VecDeque<Waiting>,
-    service: Pace,
+    service: Estimate,
     rng: SmallRng,
 }
 
 impl Gate {
-    /// A queue holds at most so many requests per slot.
+    /// Maximum number of queued requests per request that may be in progress.
     const QUEUE_PER_SLOT: usize = 16;
-    /// The limit never falls below this share of the slots.
-    const LEAST_PERCENT: u64 = 10;
-    /// Growth of the limit with each answer that was not shed.
-    const GROW_PERCENT: u64 = 1;
+    /// Lower bound of the limit, in percent of the slots.
+    const MIN_PERCENT: u64 = 10;
+    /// Growth of the limit per request that the backend server did not shed, in percent of the
+    /// slots.
+    const GROWTH_PERCENT: u64 = 1;
 
-    /// A gate before a backend server with `slots` slots.
+    /// Creates the gate of a backend server with `slots` slots.
     #[must_use]
     pub fn open(slots: u32, seed: u64) -> Self {
         Self {
@@ -69,7 +72,7 @@
             ramp_percent: 100,
             running: BTreeMap::new(),
             queue: VecDeque::new(),
-            service: Pace::default(),
+            service: Estimate::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
@@ -79,19 +82,19 @@
         self.ramp_percent = percent;
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     #[must_use]
     pub fn busy(&self) -> u32 {
         u32::try_from(self.running.len()).unwrap_or(u32::MAX)
     }
 
-    /// Requests waiting.
+    /// Number of requests waiting in the queue.
     #[must_use]
     pub fn queued(&self) -> u32 {
         u32::try_from(self.queue.len()).unwrap_or(u32::MAX)
     }
 
-    /// Requests that may be in progress now; at least one, at most the slots.
+    /// Number of requests that may be in progress now: at least one, at most the number of slots.
     #[must_use]
     pub fn limit(&self) -> usize {
         let percent = self.limit_percent.min(self.ramp_percent);
@@ -99,47 +102,49 @@
         usize::try_from(limit).unwrap_or(usize::MAX)
     }
 
-    /// A request arrives. Decides at once, or returns nothing while the request waits.
+    /// Handles a new request: returns a decision, or `None` if the request was queued.
     pub fn arrive(&mut self, now: Time, id: Id, deadline: Time) -> Option<Decision> {
         if self.queue.is_empty() && self.running.len() < self.limit() {
             self.start(now, id);
             return Some(Decision::Start(id));
         }
-        let room = self.queue.len() < self.limit() * Self::QUEUE_PER_SLOT;
-        if !room || self.expected_end(now, self.queue.len()) > deadline {
+        let has_room = self.queue.len() < self.limit() * Self::QUEUE_PER_SLOT;
+        if !has_room || self.expected_end(now, self.queue.len()) > deadline {
             return Some(self.refuse(id, Reason::Busy));
         }
         self.queue.push_back(Waiting { id, arrived: now, deadline });
         None
     }
 
-    /// A request that started is over. `shed` says that the backend server turned it away.
+    /// Handles the end of a started request; `shed` states whether the backend server rejected it.
+    ///
+    /// A shed request halves the limit, any other one raises it by a constant step.
     pub fn finish(&mut self, now: Time, id: Id, shed: bool) -> Vec<Decision> {
         let Some(started) = self.running.remove(&id) else {
             return Vec::new();
         };
         if shed {
-            self.limit_percent = (self.limit_percent / 2).max(Self::LEAST_PERCENT);
+            self.limit_percent = (self.limit_percent / 2).max(Self::MIN_PERCENT);
         } else {
-            self.limit_percent = (self.limit_percent + Self::GROW_PERCENT).min(100);
-            self.service.learn(now.since(started));
+            self.limit_percent = (self.limit_percent + Self::GROWTH_PERCENT).min(100);
+            self.service.add(now.since(started));
         }
-        self.pull(now)
+        self.start_waiting(now)
     }
 
-    /// The caller gave up: frees the slot or the place in the queue.
+    /// Handles a request that its caller cancelled: frees its slot or its place in the queue.
     pub fn cancel(&mut self, now: Time, id: Id) -> Vec<Decision> {
         self.queue.retain(|waiting| waiting.id != id);
         self.running.remove(&id);
-        self.pull(now)
+        self.start_waiting(now)
     }
 
-    /// Refuses what waits and can no longer finish in time, and starts what can.
+    /// Refuses queued requests that can no longer finish in time and starts those that fit.
     pub fn tick(&mut self, now: Time) -> Vec<Decision> {
-        self.pull(now)
+        self.start_waiting(now)
     }
 
-    /// Time of arrival of the request that has waited longest.
+    /// Returns the arrival time of the oldest queued request.
     #[must_use]
     pub fn oldest(&self) -> Option<Time> {
         self.queue.front().map(|waiting| waiting.arrived)
@@ -155,8 +160,8 @@
         );
     }
 
-    fn pull(&mut self, now: Time) -> Vec<Decision> {
-        let mut decisions = self.give_up_late(now);
+    fn start_waiting(&mut self, now: Time) -> Vec<Decision> {
+        let mut decisions = self.refuse_late(now);
         while self.running.len() < self.limit() {
             let Some(waiting) = self.queue.pop_front() else {
                 break;
@@ -167,9 +172,10 @@
         decisions
     }
 
-    /// A request that cannot finish any more gets its final answer now, not at its deadline.
-    fn give_up_late(&mut self, now: Time) -> Vec<Decision> {
-        let service_ms = self.service.most_us() / 1_000;
+    /// Refuses queued requests that can no longer finish before their deadline, so that their
+    /// callers are answered now and not when the deadline passes.
+    fn refuse_late(&mut self, now: Time) -> Vec<Decision> {
+        let service_ms = self.service.upper_us() / 1_000;
         let (late, waiting): (VecDeque<_>, VecDeque<_>) =
             self.queue.drain(..).partition(|waiting| now.after(service_ms) > waiting.deadline);
         self.queue = waiting;
@@ -187,47 +193,50 @@
     }
 
     fn expected_end(&self, now: Time, ahead: usize) -> Time {
-        now.after((self.wait_us(ahead) + self.service.most_us()) / 1_000)
+        now.after((self.wait_us(ahead) + self.service.upper_us()) / 1_000)
     }
 }
 
-/// Smoothed service time and its smoothed deviation, in microseconds, weighted as TCP weights its
-/// round trips (RFC 6298, section 2).
+/// Estimate of the service time: smoothed mean and deviation in microseconds, weighted like the
+/// round-trip time of TCP (RFC 6298, section 2).
 #[derive(Debug)]
-pub(crate) struct Pace {
+pub(crate) struct Estimate {
     mean_us: u64,
     deviation_us: u64,
 }
 
-impl Default for Pace {
+impl Default for Estimate {
     fn default() -> Self {
         Self { mean_us: Self::FIRST_MEAN_US, deviation_us: 0 }
     }
 }
 
-impl Pace {
-    /// First guess of the service time.
+impl Estimate {
+    /// Mean before the first sample.
     const FIRST_MEAN_US: u64 = 20_000;
-    /// Weight of the newest sample in the mean: one eighth.
+    /// A sample has a weight of one eighth in the mean.
     const MEAN_SHIFT: u32 = 3;
-    /// Weight of the newest sample in the deviation: one quarter.
+    /// A sample has a weight of one quarter in the deviation.
     const DEVIATION_SHIFT: u32 = 2;
 
-    /// A time within which nearly every request is done. The mean alone is not enough: of the
-    /// requests that start with just the mean left, half miss their deadline and waste their slot.
-    pub(crate) const fn most_us(&self) -> u64 {
+    /// Returns the time within which nearly every request is done.
+    ///
+    /// The mean alone is too short: of the requests that start with only the mean left before
+    /// their deadline, half miss it and waste their slot.
+    pub(crate) const fn upper_us(&self) -> u64 {
         self.mean_us + 2 * self.deviation_us
     }
 
-    /// The time of a request, on the mean.
+    /// Returns the mean service time.
     pub(crate) const fn mean_us(&self) -> u64 {
         self.mean_us
     }
 
-    pub(crate) fn learn(&mut self, sample_ms: u64) {
+    /// Adds the service time of one request.
+    pub(crate) fn add(&mut self, sample_ms: u64) {
         let sample_us = sample_ms * 1_000;
-        let off_us = sample_us.abs_diff(self.mean_us);
-        self.deviation_us = smooth(self.deviation_us, off_us, Self::DEVIATION_SHIFT);
+        let difference_us = sample_us.abs_diff(self.mean_us);
+        self.deviation_us = smooth(self.deviation_us, difference_us, Self::DEVIATION_SHIFT);
         self.mean_us = smooth(self.mean_us, sample_us, Self::MEAN_SHIFT);
     }
 }
--- a/crates/nutmegkeel_core/src/agent.rs
+++ b/crates/nutmegkeel_core/src/agent.rs
@@ -1,4 +1,5 @@
-//! The agent's decisions: which packets are its own, what its backend server is given, when to go.
+//! State machine of an agent: accepts or forwards new flows, admits requests to its backend
+//! server, and takes part in membership.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,86 +9,89 @@
 use crate::admission::{Decision, Gate, Id, Reason};
 use crate::claim::{Claim, Ledger, Name, Outcome, Settled};
 use crate::clock::Time;
-use crate::life::{Life, Phase, Stage};
+use crate::lifecycle::{Lifecycle, Phase, Stage};
 use crate::load::Report;
 use crate::member::{Capacity, Record, Role};
-use crate::membership::Pace;
+use crate::membership::Timing;
 use crate::peer::{self, Message, Peer};
 use crate::placement::{Choice, Hop, Key};
-use crate::reply::Paths;
 use crate::retry::Budget;
-
-/// How long the key of an opened flow is remembered for repeats of its opening, in milliseconds.
-const OPENING_MS: u64 = 10_000;
-/// Openings remembered at most.
-const MOST_OPENINGS: usize = 8_192;
-/// A leaving agent stays at least so long, so that its peers hear of it, in milliseconds.
+use crate::return_path::Paths;
+
+/// How long the decision about an opening is kept for its retransmissions, in milliseconds.
+const OPENING_RETENTION_MS: u64 = 10_000;
+/// Maximum number of openings whose decision is kept.
+const MAX_OPENINGS: usize = 8_192;
+/// Minimum time that a leaving agent goes on running so that its peers learn that it leaves, in
+/// milliseconds.
 pub const LINGER_MS: u64 = 500;
-/// Passes of one opening from agent to agent at most.
-pub const MOST_PASSES: u8 = 2;
+/// Maximum number of times that one opening is passed on from agent to agent.
+pub const MAX_PASSES: u8 = 2;
 
-/// An opening packet as it reached the agent.
+/// The first packet of a flow as it reaches an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Opening {
     /// Key of the flow.
     pub key: Key,
-    /// The next choice that the balancer named.
+    /// The second choice of the balancer.
     pub next: Option<Hop>,
-    /// How often it was passed on already.
+    /// Number of times that it was passed on from agent to agent.
     pub passes: u8,
-    /// Whether the balancer wants this agent spared.
-    pub spares: bool,
+    /// Whether the balancer prefers the second choice because this agent is more loaded.
+    pub prefers_next: bool,
 }
 
 impl Opening {
-    /// The opening of a flow as a balancer sends it to the choice's first agent.
+    /// Creates the opening that a balancer sends to the first agent of `choice`.
     #[must_use]
     pub const fn open(key: Key, choice: &Choice) -> Self {
-        Self { key, next: choice.next, passes: 0, spares: choice.spares_first }
+        Self { key, next: choice.next, passes: 0, prefers_next: choice.prefers_next }
     }
 
-    /// The opening as `by` passes it on.
+    /// Returns the opening as it is passed on to another agent; `by` is the agent that passes it
+    /// on and becomes the second choice.
     #[must_use]
-    pub const fn passed_on(self, by: Hop) -> Self {
-        Self { next: Some(by), passes: self.passes + 1, spares: false, ..self }
+    pub const fn forward_to(self, by: Hop) -> Self {
+        Self { next: Some(by), passes: self.passes + 1, prefers_next: false, ..self }
     }
 }
 
-/// What happens to an agent.
+/// Input of an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
-    /// The backend server announced what it can take.
+    /// The backend server announced its capacity.
     Announced(Capacity),
-    /// The backend server is draining, or the operator wants it to leave.
+    /// The backend server is draining, or an operator drains it.
     Leave,
-    /// A packet that opens a flow.
+    /// The first packet of a flow arrived.
     Opening(Opening),
     /// A flow was accepted.
     FlowOpened,
-    /// A flow is over.
+    /// A flow was closed.
     FlowClosed,
-    /// A request arrived on a flow; its deadline is a point in time.
+    /// A request with this deadline arrived on a flow.
     Request(Id, Time),
-    /// The backend server can be reached for this request, which needs a claim first.
+    /// A connection to the backend server is available for this request, which needs a claim
+    /// before it is sent.
     Claim(Id, Name),
-    /// The group of claims in flight was answered.
+    /// The outcomes of the claims in flight, in their order.
     Written(Vec<Outcome>),
-    /// A request is over; true when the backend server shed it.
+    /// A request ended; true if the backend server shed it.
     Finished(Id, bool),
-    /// The caller gave up on a request.
+    /// The caller cancelled a request.
     Cancelled(Id),
-    /// A message of a peer.
+    /// A peer sent a message.
     Message(SocketAddr, Message),
-    /// Time passes; about every 50 ms.
+    /// The clock advanced; sent about every 50 ms.
     Tick,
 }
 
-/// What an agent's driver does.
+/// Output of an agent, carried out by its driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
-    /// Hand the opening packet to the transport.
+    /// Deliver the opening packet to the local transport.
     Deliver,
-    /// Send the opening packet on to another agent.
+    /// Pass the opening packet on to another agent.
     PassOn(Hop),
     /// Start or refuse a request.
     Decided(Decision),
@@ -95,17 +99,17 @@
     Write(Vec<Claim>),
     /// Run or refuse a request that needed a claim.
     Settled(Settled),
-    /// The life cycle moved on.
+    /// The agent entered another phase.
     Entered(Phase),
     /// See [`peer::Action`].
     Peer(peer::Action),
 }
 
-/// What became of an opening, for its copies.
+/// Decision about an opening, kept for its retransmissions.
 #[derive(Clone, Copy, Debug)]
-struct Way {
+struct Disposition {
     since: Time,
-    /// The agent it was passed on to; none if it was taken.
+    /// The agent that it was passed on to; `None` if this agent accepted it.
     passed_to: Option<Hop>,
 }
 
@@ -119,19 +123,19 @@
     ledger: Ledger,
     retries: Budget,
     paths: Paths,
-    openings: BTreeMap<Key, Way>,
+    openings: BTreeMap<Key, Disposition>,
     flows: u32,
     requests: BTreeMap<Id, Time>,
     seed: u64,
 }
 
 impl Agent {
-    /// An agent whose backend server has not announced itself yet.
+    /// Creates an agent whose backend server has not announced itself yet.
     #[must_use]
-    pub fn open(me: Record, capacity: Capacity, pace: Pace, seed: u64) -> Self {
+    pub fn open(me: Record, capacity: Capacity, timing: Timing, seed: u64) -> Self {
         Self {
-            peer: Peer::open(me, pace, seed),
-            stage: Stage::Announced(Life::begin()),
+            peer: Peer::open(me, timing, seed),
+            stage: Stage::Announced(Lifecycle::begin()),
             gate: Gate::open(capacity.slots, seed),
             capacity,
             ledger: Ledger::default(),
@@ -144,47 +148,47 @@
         }
     }
 
-    /// The peers and the configuration.
+    /// Returns the view of the peers and the configuration.
     #[must_use]
     pub const fn peer(&self) -> &Peer {
         &self.peer
     }
 
-    /// The stage as peers see it.
+    /// Returns the current phase.
     #[must_use]
     pub const fn phase(&self) -> Phase {
         self.stage.phase()
     }
 
-    /// What the agent counts of its backend server.
+    /// Returns the load of the backend server as counted by the agent.
     #[must_use]
     pub fn report(&self) -> Report {
         Report { connections: self.flows, busy: self.gate.busy(), queued: self.gate.queued() }
     }
 
-    /// Where and as which run this agent is reached.
+    /// Returns the address and instance of this agent.
     #[must_use]
     pub const fn hop(&self) -> Hop {
         let me = self.peer.membership().me();
         Hop { address: me.address, instance: me.instance }
     }
 
-    /// A caller's packet came by a balancer.
-    pub fn heard_caller(&mut self, now: Time, caller: SocketAddr, via: SocketAddr) {
-        self.paths.heard(now, caller, via);
+    /// Records that a packet of `caller` arrived through the balancer `via`.
+    pub fn record_caller(&mut self, now: Time, caller: SocketAddr, via: SocketAddr) {
+        self.paths.record(now, caller, via);
     }
 
-    /// The balancer to answer a caller through.
-    pub fn way(&mut self, now: Time, caller: SocketAddr) -> Option<SocketAddr> {
-        self.paths.way(now, caller, self.peer.balancers())
+    /// Returns the balancer through which to answer a caller.
+    pub fn return_path(&mut self, now: Time, caller: SocketAddr) -> Option<SocketAddr> {
+        self.paths.choose(now, caller, self.peer.balancers())
     }
 
-    /// Takes one retry of an idempotent request out of the budget; false when none is left.
+    /// Spends one retry of an idempotent request from the budget; returns false if none is left.
     pub fn spend_retry(&mut self) -> bool {
         self.retries.spend()
     }
 
-    /// Takes in one event.
+    /// Handles one event.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Announced(capacity) => self.announced(now, capacity),
@@ -207,12 +211,12 @@
             self.gate = Gate::open(capacity.slots, self.seed);
             self.capacity = capacity;
         }
-        self.move_on(now, |stage| stage.warm(now))
+        self.transition(now, |stage| stage.warm(now))
     }
 
     fn leave(&mut self, now: Time) -> Vec<Action> {
-        let mut actions = self.move_on(now, |stage| stage.leave(now));
-        actions.extend(wrap(self.peer.farewell()));
+        let mut actions = self.transition(now, |stage| stage.leave(now));
+        actions.extend(wrap(self.peer.push_record()));
         actions
     }
 
@@ -226,30 +230,31 @@
         actions
     }
 
-    /// Decides at the last hop, whatever the balancers have heard.
+    /// Accepts an opening or passes it on to the second choice.
     ///
-    /// Guards against new work at a leaving backend server, and against a flow that is opened
-    /// twice when two balancers see different loads: an opening that this agent holds stays; one
-    /// that it cannot take, or is to be spared, goes on to the next choice, and its copies follow.
+    /// The agent decides because balancers may not know yet that it is leaving or full. An opening
+    /// that it accepted stays here. One that it cannot accept, or for which the balancer prefers
+    /// the second choice, is passed on, and so are its retransmissions. Otherwise a flow would be
+    /// opened at two agents when two balancers see different loads.
     fn opening(&mut self, now: Time, opening: Opening) -> Action {
-        match self.openings.get(&opening.key).map(|way| way.passed_to) {
+        match self.openings.get(&opening.key).map(|disposition| disposition.passed_to) {
             Some(None) => return Action::Deliver,
-            // A balancer that names another agent knows that the earlier one has gone.
+            // If the balancer names another second choice, the earlier one is gone.
             Some(Some(hop)) if opening.passes == 0 && opening.next == Some(hop) => {
                 return Action::PassOn(hop);
             }
             Some(Some(_)) | None => {}
         }
-        let may_pass = opening.passes < MOST_PASSES;
-        let wants_to = opening.spares || !self.takes_new();
+        let may_pass = opening.passes < MAX_PASSES;
+        let wants_to = opening.prefers_next || !self.takes_new();
         let passed_to = opening.next.filter(|_| wants_to && may_pass);
-        if self.openings.len() < MOST_OPENINGS {
-            self.openings.insert(opening.key, Way { since: now, passed_to });
+        if self.openings.len() < MAX_OPENINGS {
+            self.openings.insert(opening.key, Disposition { since: now, passed_to });
         }
         passed_to.map_or(Action::Deliver, Action::PassOn)
     }
 
-    /// Whether a new flow may be accepted.
+    /// Returns whether a new flow may be accepted.
     #[must_use]
     pub fn takes_new(&self) -> bool {
         self.phase().takes_new() && self.flows < self.capacity.connections
@@ -263,9 +268,9 @@
     }
 
     fn request(&mut self, now: Time, id: Id, deadline: Time) -> Vec<Action> {
-        const COME_BACK_MS: u64 = 1_000;
+        const RETRY_AFTER_MS: u64 = 1_000;
         if matches!(self.phase(), Phase::Announced | Phase::Gone) {
-            let refused = Decision::Refuse(id, Reason::Unavailable, COME_BACK_MS);
+            let refused = Decision::Refuse(id, Reason::Unavailable, RETRY_AFTER_MS);
             return vec![Action::Decided(refused)];
         }
         self.retries.earn();
@@ -278,21 +283,21 @@
 
     fn claim(&mut self, id: Id, name: Name) -> Vec<Action> {
         let claim = Claim { name, owner: self.hop(), id };
-        // A request that is over already must not run: its deadline lies at the origin.
+        // A request that has already ended must not run: the default deadline is in the past.
         let deadline = self.requests.get(&id).copied().unwrap_or_default();
-        self.ledger.ask(claim, deadline);
-        self.write_group()
+        self.ledger.request(claim, deadline);
+        self.write_batch()
     }
 
     fn written(&mut self, now: Time, outcomes: &[Outcome]) -> Vec<Action> {
         let mut actions: Vec<Action> =
             self.ledger.written(now, outcomes).into_iter().map(Action::Settled).collect();
-        actions.extend(self.write_group());
+        actions.extend(self.write_batch());
         actions
     }
 
-    fn write_group(&mut self) -> Vec<Action> {
-        self.ledger.group().into_iter().map(Action::Write).collect()
+    fn write_batch(&mut self) -> Vec<Action> {
+        self.ledger.next_batch().into_iter().map(Action::Write).collect()
     }
 
     fn finished(&mut self, now: Time, id: Id, shed: bool) -> Vec<Action> {
@@ -303,7 +308,7 @@
 
     fn cancelled(&mut self, now: Time, id: Id) -> Vec<Action> {
         self.requests.remove(&id);
-        self.ledger.forget(id);
+        self.ledger.cancel(id);
         let decisions = self.gate.cancel(now, id);
         self.decided(decisions)
     }
@@ -319,42 +324,43 @@
 
     fn tick(&mut self, now: Time) -> Vec<Action> {
         let mut actions = wrap(self.peer.tick(now));
-        if let Stage::Warming(life) = &self.stage {
-            self.gate.ramp(life.percent(now));
+        if let Stage::Warming(lifecycle) = &self.stage {
+            self.gate.ramp(lifecycle.percent(now));
         } else {
             self.gate.ramp(100);
         }
         let decisions = self.gate.tick(now);
         actions.extend(self.decided(decisions));
         self.paths.tick(now);
-        self.openings.retain(|_, way| now.since(way.since) < OPENING_MS);
+        self.openings.retain(|_, disposition| now.since(disposition.since) < OPENING_RETENTION_MS);
         let open = self.open_work(now);
-        actions.extend(self.move_on(now, |stage| stage.advance(now, open)));
+        actions.extend(self.transition(now, |stage| stage.advance(now, open)));
         actions
     }
 
-    /// Flows and requests that keep a leaving agent from ending.
+    /// Returns the number of flows and requests that a leaving agent must wait for, plus one until
+    /// [`LINGER_MS`] have passed.
     fn open_work(&self, now: Time) -> usize {
-        let lingers = match &self.stage {
-            Stage::Leaving(life) => now.since(life.since()) < LINGER_MS,
+        let is_lingering = match &self.stage {
+            Stage::Leaving(lifecycle) => now.since(lifecycle.since()) < LINGER_MS,
             _ => false,
         };
-        self.flows as usize + self.requests.len() + usize::from(lingers)
+        self.flows as usize + self.requests.len() + usize::from(is_lingering)
     }
 
-    fn move_on(&mut self, now: Time, step: impl FnOnce(Stage) -> Stage) -> Vec<Action> {
+    fn transition(&mut self, now: Time, step: impl FnOnce(Stage) -> Stage) -> Vec<Action> {
         let before = self.phase();
-        let stage = std::mem::replace(&mut self.stage, Stage::Announced(Life::begin()));
+        let stage = std::mem::replace(&mut self.stage, Stage::Announced(Lifecycle::begin()));
         self.stage = step(stage);
         let after = self.phase();
-        assert!(after >= before, "agent: life went back from {before:?} to {after:?} at {now:?}");
+        assert!(after >= before, "agent: phase went back from {before:?} to {after:?} at {now:?}");
         let role = Role::Agent(self.capacity.clone());
         self.peer.membership_mut().update(role, after);
         if after == before {
             return Vec::new();
         }
         let mut actions = vec![Action::Entered(after)];
-        actions.extend(wrap(self.peer.farewell()));
+        actions.extend(wrap(self.peer.push_record()));
         actions
     }
 }
--- a/crates/nutmegkeel_core/src/balancer.rs
+++ b/crates/nutmegkeel_core/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer's decisions: places new flows, watches peers, keeps the configuration.
+//! State machine of a balancer: places new flows, monitors peers and keeps the configuration.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,50 +7,51 @@
 
 use crate::class;
 use crate::clock::Time;
-use crate::configuration::{Book, Entry, Revision, Standing};
-use crate::life::Phase;
+use crate::configuration::{Entry, Revision, Standing, Table};
+use crate::lifecycle::Phase;
 use crate::load::Report;
 use crate::member::{Health, Record, Role, Rumor};
-use crate::membership::Pace;
+use crate::membership::Timing;
 use crate::peer::{self, Message, Peer};
 use crate::placement::{Candidate, Choice, Hop, Key, Pool, Rule};
 
-/// An agent that was sent a new flow and said nothing for so long is probed, in milliseconds.
-const UNANSWERED_MS: u64 = 400;
-/// Balancers of a failure domain that read the platform.
+/// An agent that was sent a new flow and has not answered for this time is probed, in
+/// milliseconds.
+const ANSWER_TIMEOUT_MS: u64 = 400;
+/// Number of balancers per failure domain that read the platform.
 const READERS: usize = 2;
-/// Between two reads of the platform by one reader, in milliseconds.
-const READ_EVERY_MS: u64 = 500;
-/// Between two reads when no peer of the own domain is known yet, so a newcomer reads at once.
+/// Interval between two reads of the platform by one balancer, in milliseconds.
+const READ_INTERVAL_MS: u64 = 500;
+/// Time of the first read: a balancer that has just started reads at its first tick.
 const FIRST_READ: Time = Time::ZERO;
 
-/// What happens to a balancer.
+/// Input of a balancer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
-    /// The first packet of a flow that carries no routing token.
+    /// The first packet of a flow, which carries no routing token, arrived.
     Opening(class::Name, Key),
-    /// An agent answered a flow and told its load.
-    Heard(Hop, Report),
-    /// A message of a peer.
+    /// An agent answered a flow and reported its load.
+    Reported(Hop, Report),
+    /// A peer sent a message.
     Message(SocketAddr, Message),
-    /// The platform was read.
+    /// The configuration was read from the platform.
     Read(Vec<Entry>),
-    /// The platform accepted a write that came by this balancer.
+    /// The platform accepted a write that this balancer sent.
     Accepted(Entry),
-    /// Time passes; about every 50 ms.
+    /// The clock advanced; sent about every 50 ms.
     Tick,
-    /// An operator wants this run of another process to leave.
+    /// An operator drains this instance of another process.
     Drain(Hop),
-    /// Stop in a planned way.
+    /// This balancer is to stop in a planned way.
     Leave,
 }
 
-/// What a balancer's driver does.
+/// Output of a balancer, carried out by its driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
-    /// Send the opening packet to the first choice, naming the next.
+    /// Send the opening packet to the first choice, with the second choice in its header.
     Forward(Choice),
-    /// No agent of the class takes new flows.
+    /// No agent of the class accepts new flows.
     Unplaced,
     /// Read the configuration from the platform.
     Read,
@@ -71,11 +72,11 @@
 }
 
 impl Balancer {
-    /// A balancer that knows only itself.
+    /// Creates a balancer that knows only itself.
     #[must_use]
-    pub fn open(me: Record, pace: Pace, rule: Rule, seed: u64) -> Self {
+    pub fn open(me: Record, timing: Timing, rule: Rule, seed: u64) -> Self {
         Self {
-            peer: Peer::open(me, pace, seed),
+            peer: Peer::open(me, timing, seed),
             rule,
             pools: BTreeMap::new(),
             classes: BTreeMap::new(),
@@ -85,30 +86,30 @@
         }
     }
 
-    /// The peers and the configuration.
+    /// Returns the view of the peers and the configuration.
     #[must_use]
     pub const fn peer(&self) -> &Peer {
         &self.peer
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration in force at this balancer.
     #[must_use]
-    pub const fn book(&self) -> &Book {
-        self.peer.book()
+    pub const fn configuration(&self) -> &Table {
+        self.peer.configuration()
     }
 
-    /// How much this balancer knows of the configuration.
+    /// Returns whether this balancer has the whole configuration.
     ///
-    /// Guards against an operator who is told that a class does not exist by a balancer which only
-    /// does not know it: one that started while the platform was away, or that a change is still on
-    /// its way to. Every message tells its sender's revision, so such a balancer knows that it lacks
-    /// something before it has it.
+    /// Guards against an operator being told that a class does not exist by a balancer that has
+    /// not received it yet: one that started while the platform was unavailable, or one that a
+    /// change has not reached. Every message carries the configuration revision of its sender, so
+    /// a balancer knows that it lacks a change before it receives it.
     #[must_use]
     pub fn standing(&self) -> Standing {
-        let held = self.book().revision();
-        let told = self.peer.newest_told();
-        if told > held {
-            Standing::Behind(told)
+        let held = self.configuration().revision();
+        let reported = self.peer.newest_reported();
+        if reported > held {
+            Standing::Behind(reported)
         } else if held == Revision::default() && !self.has_read {
             Standing::Unknown
         } else {
@@ -116,33 +117,33 @@
         }
     }
 
-    /// Agents of a class that take new flows.
+    /// Returns the number of agents of a class that accept new flows.
     #[must_use]
     pub fn takers(&self, class: &str) -> usize {
         self.pools.get(class).map_or(0, Pool::len)
     }
 
-    /// Takes in one event.
+    /// Handles one event.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Action> {
         match event {
             Event::Opening(class, key) => vec![self.place(now, &class, key)],
-            Event::Heard(hop, report) => self.heard(now, hop, report),
+            Event::Reported(hop, report) => self.reported(now, hop, report),
             Event::Message(from, message) => {
                 let actions = self.peer.receive(now, from, message);
-                self.follow(actions)
+                self.handle_peer(actions)
             }
             Event::Read(entries) => {
                 self.has_read = true;
-                let actions = self.peer.learn(entries);
-                self.follow(actions)
+                let actions = self.peer.apply_entries(entries);
+                self.handle_peer(actions)
             }
             Event::Accepted(entry) => {
-                let actions = self.peer.learn(vec![entry]);
-                self.follow(actions)
+                let actions = self.peer.apply_entries(vec![entry]);
+                self.handle_peer(actions)
             }
             Event::Tick => self.tick(now),
             Event::Drain(hop) => {
-                vec![Action::Peer(self.peer.ask_to_leave(hop.address, hop.instance))]
+                vec![Action::Peer(self.peer.drain(hop.address, hop.instance))]
             }
             Event::Leave => self.leave(),
         }
@@ -159,75 +160,78 @@
         Action::Forward(choice)
     }
 
-    fn heard(&mut self, now: Time, hop: Hop, report: Report) -> Vec<Action> {
+    fn reported(&mut self, now: Time, hop: Hop, report: Report) -> Vec<Action> {
         self.unanswered.remove(&hop.address);
         let class = self.classes.get(&hop.address);
         if let Some(pool) = class.and_then(|class| self.pools.get_mut(class)) {
-            pool.heard(hop, report);
+            pool.apply_report(hop, report);
         }
-        let actions = self.peer.heard(now, hop.address, hop.instance);
-        self.follow(actions)
+        let actions = self.peer.confirm_alive(now, hop.address, hop.instance);
+        self.handle_peer(actions)
     }
 
     fn tick(&mut self, now: Time) -> Vec<Action> {
         let mut from_peer = self.peer.tick(now);
-        from_peer.extend(self.doubt_silent(now));
-        let mut actions = self.follow(from_peer);
+        from_peer.extend(self.probe_unanswered(now));
+        let mut actions = self.handle_peer(from_peer);
         if now >= self.next_read && self.reads_platform() {
-            self.next_read = now.after(READ_EVERY_MS);
+            self.next_read = now.after(READ_INTERVAL_MS);
             actions.push(Action::Read);
         }
         actions
     }
 
-    /// Death of an agent shows first on the data path: new flows that it does not answer.
-    fn doubt_silent(&mut self, now: Time) -> Vec<peer::Action> {
-        let silent: Vec<SocketAddr> = self
+    /// Probes agents that left new flows unanswered for [`ANSWER_TIMEOUT_MS`].
+    ///
+    /// The failure of an agent shows on the data path before its turn to be probed comes.
+    fn probe_unanswered(&mut self, now: Time) -> Vec<peer::Action> {
+        let overdue: Vec<SocketAddr> = self
             .unanswered
             .iter()
-            .filter(|(_, since)| now.since(**since) > UNANSWERED_MS)
+            .filter(|(_, since)| now.since(**since) > ANSWER_TIMEOUT_MS)
             .map(|(address, _)| *address)
             .collect();
         let mut actions = Vec::new();
-        for address in silent {
+        for address in overdue {
             self.unanswered.remove(&address);
-            actions.extend(self.peer.doubt(now, address));
+            actions.extend(self.peer.probe_now(now, address));
         }
         actions
     }
 
-    /// Whether this balancer is one of its failure domain's few readers of the platform.
+    /// Returns whether this balancer is one of the [`READERS`] of its failure domain that read the
+    /// platform.
     ///
-    /// Guards the platform's read rate: it grows with the number of failure domains, not with the
-    /// fleet. Everybody else hears of changes from peers.
+    /// The read rate at the platform then grows with the number of failure domains and not with
+    /// the number of balancers. All other balancers receive changes from their peers.
     fn reads_platform(&self) -> bool {
         let me = self.peer.membership().me().address;
-        self.peer.neighbours().range(..me).take(READERS).count() < READERS
+        self.peer.domain_balancers().range(..me).take(READERS).count() < READERS
     }
 
     fn leave(&mut self) -> Vec<Action> {
         self.peer.membership_mut().update(Role::Balancer, Phase::Leaving);
-        let actions = self.peer.farewell();
-        self.follow(actions)
+        let actions = self.peer.push_record();
+        self.handle_peer(actions)
     }
 
-    fn follow(&mut self, actions: Vec<peer::Action>) -> Vec<Action> {
+    fn handle_peer(&mut self, actions: Vec<peer::Action>) -> Vec<Action> {
         for action in &actions {
             match action {
-                peer::Action::Changed(rumor) => self.note(rumor),
-                peer::Action::InForce(entry) => self.apply(entry),
+                peer::Action::Changed(rumor) => self.record_agent(rumor),
+                peer::Action::InForce(entry) => self.apply_target(entry),
                 _ => {}
             }
         }
         actions.into_iter().map(Action::Peer).collect()
     }
 
-    fn apply(&mut self, entry: &Entry) {
+    fn apply_target(&mut self, entry: &Entry) {
         let target = entry.target.clone().unwrap_or_default();
         self.pools.entry(entry.name.clone()).or_default().set_imbalance(target.imbalance_percent);
     }
 
-    fn note(&mut self, rumor: &Rumor) {
+    fn record_agent(&mut self, rumor: &Rumor) {
         let Some(capacity) = rumor.record.capacity() else {
             return;
         };
--- a/crates/nutmegkeel_core/src/membership.rs
+++ b/crates/nutmegkeel_core/src/membership.rs
@@ -1,7 +1,8 @@
-//! How processes find and watch each other: probes between random pairs, rumors on every message.
+//! Membership and failure detection: processes probe each other and gossip rumors on every message.
 //!
-//! The probing follows the idea of SWIM (Das, Gupta, Motivala 2002): a constant number of messages
-//! per process and second whatever the size, suspicion before death, refutation by the owner.
+//! The protocol follows SWIM (Das, Gupta, Motivala 2002): each process sends a constant number of
+//! messages per second whatever the size of the fleet, a process is suspect before it is declared
+//! dead, and it can refute the suspicion.
 
 mod beliefs;
 mod rumors;
@@ -16,135 +17,144 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Time;
-use crate::life::Phase;
+use crate::lifecycle::Phase;
 use crate::member::{Health, Instance, Record, Role, Rumor};
 use beliefs::{Beliefs, fingerprint};
 use rumors::Rumors;
 
-/// Pace of the probes. All in milliseconds but the counts.
+/// Timing of the failure detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pace {
-    /// Between two probes of one process.
-    pub probe_every_ms: u64,
-    /// Until an unanswered probe is repeated through others, and again until suspicion.
-    pub answer_within_ms: u64,
-    /// Until a suspect is given up.
-    pub suspect_for_ms: u64,
-    /// Until a suspect is given up although very many went silent at once.
-    pub hold_for_ms: u64,
-    /// Others asked to repeat a probe.
-    pub relays: usize,
+pub struct Timing {
+    /// Interval between two probes that a process sends, in milliseconds.
+    pub probe_interval_ms: u64,
+    /// Time until an unanswered probe is repeated through other processes, in milliseconds. Twice
+    /// this time later its target becomes suspect.
+    pub answer_timeout_ms: u64,
+    /// Time until a suspect is declared dead, in milliseconds.
+    pub suspicion_timeout_ms: u64,
+    /// Time after which a suspect is declared dead even if many processes are suspect at once or
+    /// there is too little evidence that the connection of this process works, in milliseconds.
+    pub max_suspicion_ms: u64,
+    /// Number of other processes asked to repeat a probe.
+    pub indirect_probes: usize,
 }
 
-impl Default for Pace {
+impl Default for Timing {
     fn default() -> Self {
         Self {
-            probe_every_ms: 500,
-            answer_within_ms: 250,
-            suspect_for_ms: 1_500,
-            hold_for_ms: 10_000,
-            relays: 2,
+            probe_interval_ms: 500,
+            answer_timeout_ms: 250,
+            suspicion_timeout_ms: 1_500,
+            max_suspicion_ms: 10_000,
+            indirect_probes: 2,
         }
     }
 }
 
-/// Rumors on one message at most, so that it fits a datagram.
-pub const NEWS: usize = 8;
-/// The dead are remembered so long, in milliseconds, lest a late rumor revive them.
-const BURY_AFTER_MS: u64 = 60_000;
-/// Least time between two pulls of a peer's whole view, in milliseconds.
-const PULL_EVERY_MS: u64 = 5_000;
-/// The same for a process that is young.
-const YOUNG_PULL_EVERY_MS: u64 = 1_000;
-/// A gap between two ticks above this means that this process was paused, in milliseconds.
-const PAUSED_MS: u64 = 1_000;
-/// Time between two probes while a probe of this process went unanswered shortly before.
-const HASTE_MS: u64 = 50;
-/// Probes sent together in haste: evidence must be there before callers' next retransmission.
-const HASTY_PROBES: usize = 2;
-/// Time between two attempts to join, in milliseconds.
-const JOIN_EVERY_MS: u64 = 500;
-/// A process is young for so long and meets a random balancer as often as it would join.
-const YOUNG_MS: u64 = 5_000;
-/// Time between two meetings with a random balancer of a process that is not young.
-const MEET_EVERY_MS: u64 = 5_000;
+/// Maximum number of rumors in one message, so that it fits into a datagram.
+pub const MAX_RUMORS: usize = 8;
+/// How long a dead process is remembered, in milliseconds, so that a late rumor does not add it
+/// again.
+const DEAD_RETENTION_MS: u64 = 60_000;
+/// Minimum interval between two pulls of a peer's view, in milliseconds.
+const PULL_INTERVAL_MS: u64 = 5_000;
+/// Minimum interval between two pulls of a recently started process, in milliseconds.
+const STARTUP_PULL_INTERVAL_MS: u64 = 1_000;
+/// A longer gap between two ticks means that this process was paused, in milliseconds.
+const PAUSE_THRESHOLD_MS: u64 = 1_000;
+/// Interval between probes while evidence about a suspect is needed quickly, in milliseconds.
+const FAST_PROBE_INTERVAL_MS: u64 = 50;
+/// Number of probes sent at each such interval. It is large enough to collect the evidence before
+/// the next retransmission of callers.
+const FAST_PROBES: usize = 2;
+/// Interval between two attempts to join, in milliseconds.
+const JOIN_INTERVAL_MS: u64 = 500;
+/// How long a process counts as recently started, in milliseconds. During this time it pings a
+/// random balancer at the interval of attempts to join.
+const STARTUP_MS: u64 = 5_000;
+/// Interval between two pings of a random balancer after that time, in milliseconds.
+const RANDOM_PING_INTERVAL_MS: u64 = 5_000;
 
 /// A message between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Are you there? Answer to the sender.
+    /// Asks the receiver to answer with an `Ack`.
     Ping(Probe),
-    /// I am there.
+    /// Answers a `Ping`.
     Ack(Probe),
-    /// Ping `target` for me and pass its answer on.
-    Relay(Probe, SocketAddr),
-    /// I am new: send me your view.
+    /// Asks the receiver to ping the process at this address and to forward its `Ack`.
+    IndirectPing(Probe, SocketAddr),
+    /// Announces a new process and asks for the receiver's view.
     Join(Record),
-    /// My view differs: send me yours.
+    /// Asks for the receiver's view because its digest differs.
     Pull,
-    /// A part of the sender's view. Whoever lacks it pulls it too, so it is not passed on.
+    /// A part of the sender's view. The receiver does not spread it, since every process that lacks
+    /// it pulls it too.
     View(Vec<Rumor>),
-    /// News to pass on.
-    News(Vec<Rumor>),
+    /// Rumors that the receiver applies and spreads.
+    Rumors(Vec<Rumor>),
 }
 
-/// What probes and their answers carry.
+/// Content of probes and their answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Probe {
-    /// Number that the answer repeats.
+    /// Number of the probe, which its answer repeats.
     pub number: u64,
-    /// The sender's word about itself.
+    /// Record of the sender.
     pub sender: Record,
-    /// Rumors.
-    pub news: Vec<Rumor>,
+    /// Rumors that the sender spreads.
+    pub rumors: Vec<Rumor>,
     /// Digest of the sender's view.
     pub digest: u64,
 }
 
-/// What the driver does for the membership.
+/// Output of the membership, carried out by its driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
     /// Send to a peer.
     Send(SocketAddr, Message),
-    /// Send to any balancer, by the fabric's address.
+    /// Send to the address of the fabric, which delivers to any balancer.
     Join(Message),
-    /// The belief about a process changed.
+    /// The record or health of a process changed.
     Changed(Rumor),
-    /// A run of a process is over.
+    /// An instance of a process ended.
     Gone(SocketAddr, Instance),
-    /// A later run has this process's address: it must stop.
+    /// A later instance runs at the address of this process, so this process must stop.
     Superseded,
 }
 
+/// Outcome of a scheduled probe.
 #[derive(Clone, Copy, Debug)]
 struct Outcome {
     sent: Time,
     answered: bool,
 }
 
+/// A probe without an answer so far.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    errand: Errand,
+    request: Request,
     sent: Time,
-    until: Time,
-    relayed: bool,
+    deadline: Time,
+    is_indirect: bool,
 }
 
-/// Whom a probe goes to, and why.
+/// Target and purpose of a probe.
 #[derive(Clone, Copy, Debug)]
-struct Errand {
+struct Request {
     target: SocketAddr,
-    /// Whether it goes to whoever's turn it is, and so tells something of the whole fleet.
-    in_turn: bool,
-    /// Who asked for it, and under which number.
-    asked_by: Option<(SocketAddr, u64)>,
+    /// Whether the target was chosen in turn and not because it is suspect. Only outcomes of these
+    /// probes count as evidence, because they are an unbiased sample of the fleet.
+    is_scheduled: bool,
+    /// The process that asked for this probe, and the number of its own probe.
+    requested_by: Option<(SocketAddr, u64)>,
 }
 
-/// The view of one process.
+/// The membership view of one process.
 #[derive(Debug)]
 pub struct Membership {
     me: Record,
-    pace: Pace,
+    timing: Timing,
     beliefs: Beliefs,
     pending: BTreeMap<u64, Pending>,
     outcomes: VecDeque<Outcome>,
@@ -154,19 +164,19 @@
     next_number: u64,
     next_probe: Time,
     next_join: Time,
-    next_meeting: Time,
+    next_random_ping: Time,
     next_pull: Time,
     first_tick: Option<Time>,
     last_tick: Option<Time>,
 }
 
 impl Membership {
-    /// A view that holds nobody but `me`.
+    /// Creates a view that holds only the process itself.
     #[must_use]
-    pub fn open(me: Record, pace: Pace, seed: u64) -> Self {
+    pub fn open(me: Record, timing: Timing, seed: u64) -> Self {
         Self {
             me,
-            pace,
+            timing,
             beliefs: Beliefs::default(),
             pending: BTreeMap::new(),
             outcomes: VecDeque::new(),
@@ -176,30 +186,30 @@
             next_number: 0,
             next_probe: Time::ZERO,
             next_join: Time::ZERO,
-            next_meeting: Time::ZERO,
+            next_random_ping: Time::ZERO,
             next_pull: Time::ZERO,
             first_tick: None,
             last_tick: None,
         }
     }
 
-    /// This process's word about itself.
+    /// Returns the record of this process.
     #[must_use]
     pub const fn me(&self) -> &Record {
         &self.me
     }
 
-    /// All beliefs about others, the dead included.
+    /// Returns the rumors about all other processes, including dead ones.
     pub fn beliefs(&self) -> impl Iterator<Item = &Rumor> {
         self.beliefs.rumors()
     }
 
-    /// Others that are not given up.
+    /// Returns the rumors about all other processes that are neither dead nor gone.
     pub fn living(&self) -> impl Iterator<Item = &Rumor> {
         self.beliefs().filter(|rumor| rumor.is_living())
     }
 
-    /// Changes this process's word about itself.
+    /// Changes the record of this process and spreads it.
     pub fn update(&mut self, role: Role, phase: Phase) {
         if self.me.role == role && self.me.phase == phase {
             return;
@@ -210,76 +220,86 @@
         self.spread_self();
     }
 
-    /// Word of a stop, sent to a few peers at once so that they need no suspicion.
-    pub fn farewell(&mut self) -> Vec<Action> {
-        const TOLD: usize = 4;
-        let told = self.some(TOLD);
+    /// Sends the record of this process to a few peers at once, so that they learn of a planned
+    /// stop or another phase without a suspicion.
+    pub fn push_record(&mut self) -> Vec<Action> {
+        const FANOUT: usize = 4;
+        let peers = self.sample(FANOUT);
         let me = self.rumor_of_self();
-        told.into_iter().map(|peer| Action::Send(peer, Message::News(vec![me.clone()]))).collect()
+        peers
+            .into_iter()
+            .map(|peer| Action::Send(peer, Message::Rumors(vec![me.clone()])))
+            .collect()
     }
 
-    /// Up to `count` living others, drawn at random.
-    pub fn some(&mut self, count: usize) -> Vec<SocketAddr> {
-        self.beliefs.some(&mut self.rng, count, None)
+    /// Returns up to `count` living other processes, chosen at random.
+    pub fn sample(&mut self, count: usize) -> Vec<SocketAddr> {
+        self.beliefs.sample(&mut self.rng, count, None)
     }
 
-    /// Time passes: probes, suspicions, deaths.
+    /// Sends the probes that are due and declares processes suspect or dead whose timeouts have
+    /// passed.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
         self.first_tick.get_or_insert(now);
-        self.notice_pause(now);
+        self.detect_pause(now);
         let mut actions = Vec::new();
         self.join(now, &mut actions);
-        self.meet(now, &mut actions);
+        self.ping_random_balancer(now, &mut actions);
         self.expire_probes(now, &mut actions);
-        self.ask_suspects_again(now, &mut actions);
-        self.give_up_suspects(now, &mut actions);
-        self.beliefs.bury(now, BURY_AFTER_MS);
+        self.probe_suspects_again(now, &mut actions);
+        self.declare_dead(now, &mut actions);
+        self.beliefs.purge_dead(now, DEAD_RETENTION_MS);
         if now >= self.next_probe {
             self.probe_in_turn(now, &mut actions);
         }
         actions
     }
 
-    /// A message arrived from the process at `from`.
+    /// Handles a message from the process at `from`.
     pub fn receive(&mut self, now: Time, from: SocketAddr, message: Message) -> Vec<Action> {
         let mut actions = Vec::new();
         match message {
             Message::Ping(probe) => {
                 let (number, sender) = (probe.number, probe.sender.address);
-                self.take_in(now, probe, &mut actions);
+                self.apply_probe(now, probe, &mut actions);
                 let mut answer = self.probe(number);
-                answer.news.extend(self.grave_belief(sender));
+                answer.rumors.extend(self.unhealthy_belief(sender));
                 actions.push(Action::Send(from, Message::Ack(answer)));
             }
-            Message::Ack(probe) => self.acked(now, probe, &mut actions),
-            Message::Relay(probe, target) => {
-                let asked_by = Some((from, probe.number));
-                self.take_in(now, probe, &mut actions);
-                self.ping(now, Errand { target, in_turn: false, asked_by }, &mut actions);
+            Message::Ack(probe) => self.receive_ack(now, probe, &mut actions),
+            Message::IndirectPing(probe, target) => {
+                let requested_by = Some((from, probe.number));
+                self.apply_probe(now, probe, &mut actions);
+                self.ping(now, Request { target, is_scheduled: false, requested_by }, &mut actions);
             }
             Message::Join(record) => {
-                let newcomer = record.address;
+                let sender = record.address;
                 let rumor = Rumor { record, health: Health::Alive };
-                self.learn(now, rumor, &mut actions);
-                self.send_view(newcomer, &mut actions);
+                self.apply_and_spread(now, rumor, &mut actions);
+                self.send_view(sender, &mut actions);
             }
             Message::Pull => self.send_view(from, &mut actions),
             Message::View(rumors) => {
                 for rumor in rumors {
-                    self.learn_quietly(now, rumor, &mut actions);
+                    self.apply(now, rumor, &mut actions);
                 }
             }
-            Message::News(rumors) => {
+            Message::Rumors(rumors) => {
                 for rumor in rumors {
-                    self.learn(now, rumor, &mut actions);
+                    self.apply_and_spread(now, rumor, &mut actions);
                 }
             }
         }
         actions
     }
 
-    /// A process proved on the data path that it lives.
-    pub fn heard(&mut self, now: Time, address: SocketAddr, instance: Instance) -> Vec<Action> {
+    /// Handles a packet on the data path from a process, which proves that it is alive.
+    pub fn confirm_alive(
+        &mut self,
+        now: Time,
+        address: SocketAddr,
+        instance: Instance,
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
         let refuted = self.beliefs.get(address).filter(|belief| {
             belief.rumor.record.instance == instance && belief.rumor.health == Health::Suspect
@@ -292,56 +312,57 @@
         actions
     }
 
-    /// The data path met silence: probe this process now instead of when its turn comes.
-    pub fn doubt(&mut self, now: Time, address: SocketAddr) -> Vec<Action> {
+    /// Probes a process now instead of at its turn, unless a probe of it is pending.
+    pub fn probe_now(&mut self, now: Time, address: SocketAddr) -> Vec<Action> {
         let mut actions = Vec::new();
-        if !self.is_asked(address)
+        if !self.is_probed(address)
             && self.beliefs.get(address).is_some_and(|belief| belief.rumor.is_living())
         {
-            let errand = Errand { target: address, in_turn: false, asked_by: None };
-            self.ping(now, errand, &mut actions);
+            let request = Request { target: address, is_scheduled: false, requested_by: None };
+            self.ping(now, request, &mut actions);
         }
         actions
     }
 
-    /// Guards against a process that was frozen and wakes: to it every probe looks unanswered and
-    /// every suspicion run out, so it would give up healthy peers. After a pause it starts the
-    /// waiting over.
-    fn notice_pause(&mut self, now: Time) {
-        let paused = self.last_tick.is_some_and(|last| now.since(last) > PAUSED_MS);
+    /// Drops all pending probes and restarts all suspicions if this process was paused.
+    ///
+    /// Guards against healthy peers being declared dead after a pause: all probes of this process
+    /// would look unanswered, and all its suspicions would have timed out.
+    fn detect_pause(&mut self, now: Time) {
+        let paused = self.last_tick.is_some_and(|last| now.since(last) > PAUSE_THRESHOLD_MS);
         self.last_tick = Some(now);
         if !paused {
             return;
         }
         self.pending.clear();
         self.outcomes.clear();
-        self.beliefs.start_over(now);
+        self.beliefs.restart_suspicions(now);
     }
 
-    fn is_young(&self, now: Time) -> bool {
-        self.first_tick.is_none_or(|first| now.since(first) < YOUNG_MS)
+    fn is_starting(&self, now: Time) -> bool {
+        self.first_tick.is_none_or(|first| now.since(first) < STARTUP_MS)
     }
 
     fn join(&mut self, now: Time, actions: &mut Vec<Action>) {
         let alone = self.beliefs.living().is_empty();
         if alone && now >= self.next_join {
-            self.next_join = now.after(JOIN_EVERY_MS);
+            self.next_join = now.after(JOIN_INTERVAL_MS);
             actions.push(Action::Join(Message::Join(self.me.clone())));
         }
     }
 
-    /// Pings a random balancer by the fabric's address.
+    /// Pings a random balancer through the address of the fabric.
     ///
-    /// Guards against groups that never hear of each other: processes that started at the same
-    /// time, or were cut apart for long, know only their own group, and probes stay within it. The
-    /// fabric knows no groups, so sooner or later it hands this ping to a balancer of another one,
-    /// and the digests in ping and answer show that the views differ.
-    fn meet(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if now < self.next_meeting {
+    /// Guards against groups of processes that never find each other: processes that started at the
+    /// same time, or were partitioned for long, know only their own group and probe only its
+    /// members. The fabric delivers to any balancer, so eventually this ping reaches one of another
+    /// group, and the digests in ping and answer show that the views differ.
+    fn ping_random_balancer(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if now < self.next_random_ping {
             return;
         }
-        let pause = if self.is_young(now) { JOIN_EVERY_MS } else { MEET_EVERY_MS };
-        self.next_meeting = now.after(pause);
+        let pause = if self.is_starting(now) { JOIN_INTERVAL_MS } else { RANDOM_PING_INTERVAL_MS };
+        self.next_random_ping = now.after(pause);
         self.next_number += 1;
         let number = self.next_number;
         let probe = self.probe(number);
@@ -349,16 +370,19 @@
     }
 
     fn probe_in_turn(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let hasty = self.is_hasty();
-        let (count, pause) =
-            if hasty { (HASTY_PROBES, HASTE_MS) } else { (1, self.pace.probe_every_ms) };
+        let fast = self.probes_fast();
+        let (count, pause) = if fast {
+            (FAST_PROBES, FAST_PROBE_INTERVAL_MS)
+        } else {
+            (1, self.timing.probe_interval_ms)
+        };
         self.next_probe = now.after(pause);
         for _ in 0..count {
             self.probe_next(now, actions);
         }
     }
 
-    /// Probes each other process once per round, in an order drawn anew for each round.
+    /// Probes the next process. Each round visits all other processes once, in a new random order.
     fn probe_next(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.order.is_empty() {
             self.order = self.beliefs.living().to_vec();
@@ -366,22 +390,22 @@
         }
         while let Some(target) = self.order.pop() {
             if self.beliefs.get(target).is_some_and(|belief| belief.rumor.is_living()) {
-                let errand = Errand { target, in_turn: true, asked_by: None };
-                self.ping(now, errand, actions);
+                let request = Request { target, is_scheduled: true, requested_by: None };
+                self.ping(now, request, actions);
                 return;
             }
         }
     }
 
-    fn ping(&mut self, now: Time, errand: Errand, actions: &mut Vec<Action>) {
+    fn ping(&mut self, now: Time, request: Request, actions: &mut Vec<Action>) {
         self.next_number += 1;
         let number = self.next_number;
-        let until = now.after(self.pace.answer_within_ms);
-        let pending = Pending { errand, sent: now, until, relayed: false };
+        let deadline = now.after(self.timing.answer_timeout_ms);
+        let pending = Pending { request, sent: now, deadline, is_indirect: false };
         self.pending.insert(number, pending);
-        let target = errand.target;
+        let target = request.target;
         let mut probe = self.probe(number);
-        probe.news.extend(self.grave_belief(target));
+        probe.rumors.extend(self.unhealthy_belief(target));
         actions.push(Action::Send(target, Message::Ping(probe)));
     }
 
@@ -390,72 +414,75 @@
         Probe {
             number,
             sender: self.me.clone(),
-            news: self.rumors.take(NEWS, known),
+            rumors: self.rumors.take(MAX_RUMORS, known),
             digest: self.digest(),
         }
     }
 
-    /// What the process at `address` must refute, if it is believed dead or suspect.
-    fn grave_belief(&self, address: SocketAddr) -> Option<Rumor> {
+    /// Returns the rumor that the process at `address` must refute if it is suspect or dead in this
+    /// view.
+    fn unhealthy_belief(&self, address: SocketAddr) -> Option<Rumor> {
         let belief = self.beliefs.get(address)?;
         (belief.rumor.health > Health::Alive).then(|| belief.rumor.clone())
     }
 
-    fn acked(&mut self, now: Time, probe: Probe, actions: &mut Vec<Action>) {
+    fn receive_ack(&mut self, now: Time, probe: Probe, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.remove(&probe.number) else {
-            return self.take_in(now, probe, actions);
+            return self.apply_probe(now, probe, actions);
         };
-        self.note_outcome(now, &pending, true);
-        if let Some((asker, number)) = pending.errand.asked_by {
+        self.record_outcome(now, &pending, true);
+        if let Some((requester, number)) = pending.request.requested_by {
             let passed_on = Probe { number, ..probe.clone() };
-            actions.push(Action::Send(asker, Message::Ack(passed_on)));
+            actions.push(Action::Send(requester, Message::Ack(passed_on)));
         }
-        self.take_in(now, probe, actions);
+        self.apply_probe(now, probe, actions);
     }
 
-    fn take_in(&mut self, now: Time, probe: Probe, actions: &mut Vec<Action>) {
+    fn apply_probe(&mut self, now: Time, probe: Probe, actions: &mut Vec<Action>) {
         let sender = probe.sender.address;
         let instance = probe.sender.instance;
         let alive = Rumor { record: probe.sender, health: Health::Alive };
-        self.learn(now, alive, actions);
-        actions.extend(self.heard(now, sender, instance));
-        for rumor in probe.news {
-            self.learn(now, rumor, actions);
+        self.apply_and_spread(now, alive, actions);
+        actions.extend(self.confirm_alive(now, sender, instance));
+        for rumor in probe.rumors {
+            self.apply_and_spread(now, rumor, actions);
         }
         if probe.digest != self.digest() && now >= self.next_pull {
-            let pause = if self.is_young(now) { YOUNG_PULL_EVERY_MS } else { PULL_EVERY_MS };
+            let pause =
+                if self.is_starting(now) { STARTUP_PULL_INTERVAL_MS } else { PULL_INTERVAL_MS };
             self.next_pull = now.after(pause);
             actions.push(Action::Send(sender, Message::Pull));
         }
     }
 
-    /// Takes in what others say and passes it on if it is new.
-    fn learn(&mut self, now: Time, rumor: Rumor, actions: &mut Vec<Action>) {
+    /// Applies a rumor and spreads it if it is new.
+    fn apply_and_spread(&mut self, now: Time, rumor: Rumor, actions: &mut Vec<Action>) {
         let address = rumor.record.address;
-        if self.learn_quietly(now, rumor, actions)
+        if self.apply(now, rumor, actions)
             && let Some(belief) = self.beliefs.get(address)
         {
             self.rumors.add(belief.rumor.clone());
         }
     }
 
-    /// Takes in what others say; true when it was new.
+    /// Applies a rumor and returns true if it is new.
     ///
-    /// Guards against flows that are reset on hearsay: a process that was cut off or frozen is
-    /// dead to some and well to others. Their word makes it suspect here, which gives it the time
-    /// to refute; only this process's own unanswered waiting makes it dead.
-    fn learn_quietly(&mut self, now: Time, rumor: Rumor, actions: &mut Vec<Action>) -> bool {
+    /// Guards against resetting the flows of a healthy process that was partitioned or paused,
+    /// which some peers declare dead while others reach it. A rumor of its death only makes it
+    /// suspect here, so it has time to refute. It is declared dead only after this process's own
+    /// probes have gone unanswered.
+    fn apply(&mut self, now: Time, rumor: Rumor, actions: &mut Vec<Action>) -> bool {
         if rumor.record.address == self.me.address {
-            self.learn_of_self(&rumor, actions);
+            self.apply_about_self(&rumor, actions);
             return false;
         }
         let known = self.beliefs.get(rumor.record.address).map(|belief| belief.rumor.clone());
         if known.is_none() && !rumor.is_living() {
             return false;
         }
-        let heard_dead = rumor.health == Health::Dead;
-        let rumor = if heard_dead { Rumor { health: Health::Suspect, ..rumor } } else { rumor };
-        let is_new = known.as_ref().is_none_or(|known| rumor.beats(known));
+        let is_dead = rumor.health == Health::Dead;
+        let rumor = if is_dead { Rumor { health: Health::Suspect, ..rumor } } else { rumor };
+        let is_new = known.as_ref().is_none_or(|known| rumor.supersedes(known));
         if is_new {
             self.believe(now, rumor, actions);
         }
@@ -464,25 +491,27 @@
 
     fn believe(&mut self, now: Time, rumor: Rumor, actions: &mut Vec<Action>) {
         if let Some(known) = self.beliefs.get(rumor.record.address) {
-            note_end(&known.rumor, &rumor, actions);
+            push_gone(&known.rumor, &rumor, actions);
         }
         self.beliefs.set(now, rumor.clone());
         actions.push(Action::Changed(rumor));
     }
 
-    /// Others speak of this process. A grave belief is refuted by a greater version; word of a
-    /// later run at the same address means that this one was replaced while it was away.
-    fn learn_of_self(&mut self, rumor: &Rumor, actions: &mut Vec<Action>) {
+    /// Applies a rumor about this process.
+    ///
+    /// The process refutes a rumor that it is suspect or dead by raising its version. A later
+    /// instance at its address means that it was replaced, for instance while it was paused.
+    fn apply_about_self(&mut self, rumor: &Rumor, actions: &mut Vec<Action>) {
         if rumor.record.instance > self.me.instance {
             actions.push(Action::Superseded);
             return;
         }
-        let of_this_run = rumor.record.instance == self.me.instance;
-        let grave = rumor.health > Health::Alive && rumor.record.version >= self.me.version;
-        if of_this_run && grave {
+        let is_same_instance = rumor.record.instance == self.me.instance;
+        let is_unhealthy = rumor.health > Health::Alive && rumor.record.version >= self.me.version;
+        if is_same_instance && is_unhealthy {
             self.me.version = rumor.record.version + 1;
             self.spread_self();
-        } else if !of_this_run {
+        } else if !is_same_instance {
             self.spread_self();
         }
     }
@@ -499,18 +528,18 @@
     fn send_view(&mut self, to: SocketAddr, actions: &mut Vec<Action>) {
         let mut view: Vec<Rumor> = self.beliefs().cloned().collect();
         view.push(self.rumor_of_self());
-        for part in view.chunks(NEWS) {
+        for part in view.chunks(MAX_RUMORS) {
             actions.push(Action::Send(to, Message::View(part.to_vec())));
         }
     }
 
-    /// Digest of this view, the own record included.
+    /// Returns the digest of this view including the record of this process.
     fn digest(&self) -> u64 {
         self.beliefs.digest().wrapping_add(fingerprint(&self.me))
     }
 }
 
-fn note_end(known: &Rumor, rumor: &Rumor, actions: &mut Vec<Action>) {
+fn push_gone(known: &Rumor, rumor: &Rumor, actions: &mut Vec<Action>) {
     let replaced = rumor.record.instance > known.record.instance;
     if known.is_living() && (replaced || !rumor.is_living()) {
         actions.push(Action::Gone(known.record.address, known.record.instance));
--- a/crates/nutmegkeel_core/src/membership/beliefs.rs
+++ b/crates/nutmegkeel_core/src/membership/beliefs.rs
@@ -1,7 +1,8 @@
-//! What one process believes of all others, with the counts and the digest kept up to date.
+//! Records and health of all other processes, with sets by health and an incremental digest.
 //!
-//! Each change costs the logarithm of the number of processes and each tick nothing but what is
-//! suspect or dead: a walk over all beliefs would not fit a tick at 200,000 of them.
+//! A change takes logarithmic time in the number of processes, and a tick visits only those that
+//! are suspect or dead. Iterating over all of them at each tick would take too long with 200,000
+//! processes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,18 +13,19 @@
 use crate::clock::Time;
 use crate::member::{Health, Record, Rumor};
 
-/// The belief about one process.
+/// Record and health of one process.
 #[derive(Clone, Debug)]
 pub(super) struct Belief {
     pub(super) rumor: Rumor,
+    /// When the record or health last changed.
     pub(super) since: Time,
-    /// When the first own probe that went unanswered since it became suspect was sent.
-    pub(super) failed: Option<Time>,
-    /// Index among the living.
-    place: usize,
+    /// Send time of the first own probe that went unanswered since the process became suspect.
+    pub(super) failed_at: Option<Time>,
+    /// Index in [`Beliefs::living`].
+    index: usize,
 }
 
-/// All beliefs of one process.
+/// Records and health of all other processes.
 #[derive(Debug, Default)]
 pub(super) struct Beliefs {
     known: BTreeMap<SocketAddr, Belief>,
@@ -58,16 +60,16 @@
         self.suspects.len()
     }
 
-    /// Sum of one number per living record; views that are equal have equal digests.
+    /// Returns the sum of the fingerprints of all living records. Equal views have equal digests.
     pub(super) const fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Replaces the belief about a process.
+    /// Replaces the record and health of a process.
     pub(super) fn set(&mut self, now: Time, rumor: Rumor) {
         let address = rumor.record.address;
         self.remove(address);
-        let place = self.living.len();
+        let index = self.living.len();
         if rumor.is_living() {
             self.living.push(address);
             self.digest = self.digest.wrapping_add(fingerprint(&rumor.record));
@@ -77,27 +79,28 @@
         } else {
             self.dead.insert(address);
         }
-        self.known.insert(address, Belief { rumor, since: now, failed: None, place });
+        self.known.insert(address, Belief { rumor, since: now, failed_at: None, index });
     }
 
-    pub(super) fn note_failed(&mut self, address: SocketAddr, sent: Time) {
+    /// Records an unanswered probe of a process that was sent at `sent`.
+    pub(super) fn record_failure(&mut self, address: SocketAddr, sent: Time) {
         if let Some(belief) = self.known.get_mut(&address) {
-            belief.failed.get_or_insert(sent);
+            belief.failed_at.get_or_insert(sent);
         }
     }
 
-    /// Starts the waiting for all suspects over.
-    pub(super) fn start_over(&mut self, now: Time) {
+    /// Restarts the timeouts of all suspicions and drops the evidence for them.
+    pub(super) fn restart_suspicions(&mut self, now: Time) {
         for address in &self.suspects {
             if let Some(belief) = self.known.get_mut(address) {
                 belief.since = now;
-                belief.failed = None;
+                belief.failed_at = None;
             }
         }
     }
 
-    /// Forgets the dead that have been dead for `millis`.
-    pub(super) fn bury(&mut self, now: Time, millis: u64) {
+    /// Removes the processes that have been dead for `millis`.
+    pub(super) fn purge_dead(&mut self, now: Time, millis: u64) {
         let known = &self.known;
         let is_due = |address: &SocketAddr| {
             known.get(address).is_none_or(|belief| now.since(belief.since) >= millis)
@@ -108,8 +111,9 @@
         }
     }
 
-    /// Up to `count` different living processes other than `except`, drawn evenly.
-    pub(super) fn some(
+    /// Returns up to `count` distinct living processes other than `except`, chosen uniformly at
+    /// random.
+    pub(super) fn sample(
         &self,
         rng: &mut SmallRng,
         count: usize,
@@ -138,16 +142,16 @@
             return;
         }
         self.digest = self.digest.wrapping_sub(fingerprint(&belief.rumor.record));
-        self.living.swap_remove(belief.place);
-        if let Some(moved) = self.living.get(belief.place).copied()
+        self.living.swap_remove(belief.index);
+        if let Some(moved) = self.living.get(belief.index).copied()
             && let Some(moved) = self.known.get_mut(&moved)
         {
-            moved.place = belief.place;
+            moved.index = belief.index;
         }
     }
 }
 
-/// A number that differs for each record and each version of it.
+/// Returns a hash of the address, instance and version of a record.
 pub(super) fn fingerprint(record: &Record) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(record.address.to_string().as_bytes());
--- a/crates/nutmegkeel_core/src/membership/suspicion.rs
+++ b/crates/nutmegkeel_core/src/membership/suspicion.rs
@@ -1,4 +1,5 @@
-//! From an unanswered probe to a death: repeats through others, suspicion, evidence, giving up.
+//! Failure detection after an unanswered probe: indirect probes, suspicion, evidence and the
+//! declaration of death.
 
 use std::net::SocketAddr;
 
@@ -7,21 +8,23 @@
 use crate::clock::Time;
 use crate::member::{Health, Rumor};
 
-/// Outcomes of probes are kept so long as evidence of being cut off, in milliseconds.
+/// How long outcomes of probes are kept to decide whether this process is isolated, in
+/// milliseconds.
 const EVIDENCE_MS: u64 = 10_000;
-/// So many probes are enough evidence to be sure of one's own connection ...
-const ENOUGH: usize = 16;
-/// ... if at most one in so many of them went unanswered.
-const SURE_PARTS: usize = 4;
-/// Suspects probed out of turn in one tick at most; bounds the traffic of a mass failure.
-const PER_TICK: usize = 2;
-/// In a fleet of at most so many everybody asks a suspect at once. In a larger one that would be a
-/// flood upon a process that may only be slow, so word of a suspicion is checked when it runs out.
-const SMALL: usize = 500;
-/// With fewer others than this there is no evidence to be had.
-const FEW: usize = 3;
-
-/// How a number of probes went.
+/// Minimum number of probes from which this process concludes that its own connection works.
+const MIN_PROBES: usize = 16;
+/// It does so if at most one in this number of probes went unanswered.
+const MAX_FAILED_ONE_IN: usize = 4;
+/// Maximum number of suspects probed out of turn per tick. It bounds the traffic of a mass failure.
+const PROBES_PER_TICK: usize = 2;
+/// Maximum size of a fleet in which every process probes a suspect at once. In a larger fleet these
+/// probes would overload a process that may only be slow, so a suspicion that came as a rumor is
+/// checked only when it times out.
+const SMALL_FLEET: usize = 500;
+/// Minimum number of other processes for which outcomes of probes count as evidence.
+const MIN_OTHERS: usize = 3;
+
+/// Number of probes and of those that went unanswered.
 #[derive(Clone, Copy, Debug)]
 struct Evidence {
     all: usize,
@@ -33,160 +36,174 @@
         let expired: Vec<(u64, Pending)> = self
             .pending
             .iter()
-            .filter(|(_, pending)| now >= pending.until)
+            .filter(|(_, pending)| now >= pending.deadline)
             .map(|(number, pending)| (*number, *pending))
             .collect();
         for (number, pending) in expired {
-            if pending.errand.asked_by.is_some() {
+            if pending.request.requested_by.is_some() {
                 self.pending.remove(&number);
-            } else if pending.relayed {
+            } else if pending.is_indirect {
                 self.pending.remove(&number);
-                self.note_outcome(now, &pending, false);
+                self.record_outcome(now, &pending, false);
                 self.suspect(now, &pending, actions);
             } else {
-                self.relay(now, number, pending.errand.target, actions);
+                self.probe_indirectly(now, number, pending.request.target, actions);
             }
         }
     }
 
-    fn relay(&mut self, now: Time, number: u64, target: SocketAddr, actions: &mut Vec<Action>) {
-        let relays = self.beliefs.some(&mut self.rng, self.pace.relays, Some(target));
-        for relay in relays {
+    fn probe_indirectly(
+        &mut self,
+        now: Time,
+        number: u64,
+        target: SocketAddr,
+        actions: &mut Vec<Action>,
+    ) {
+        let peers = self.beliefs.sample(&mut self.rng, self.timing.indirect_probes, Some(target));
+        for peer in peers {
             let probe = self.probe(number);
-            actions.push(Action::Send(relay, Message::Relay(probe, target)));
+            actions.push(Action::Send(peer, Message::IndirectPing(probe, target)));
         }
         if let Some(pending) = self.pending.get_mut(&number) {
-            pending.relayed = true;
-            pending.until = now.after(2 * self.pace.answer_within_ms);
+            pending.is_indirect = true;
+            pending.deadline = now.after(2 * self.timing.answer_timeout_ms);
         }
     }
 
     fn suspect(&mut self, now: Time, pending: &Pending, actions: &mut Vec<Action>) {
-        let target = pending.errand.target;
+        let target = pending.request.target;
         let Some(belief) = self.beliefs.get(target) else {
             return;
         };
         if belief.rumor.health == Health::Alive {
             let rumor = Rumor { health: Health::Suspect, ..belief.rumor.clone() };
-            self.learn(now, rumor, actions);
+            self.apply_and_spread(now, rumor, actions);
         }
-        self.beliefs.note_failed(target, pending.sent);
+        self.beliefs.record_failure(target, pending.sent);
     }
 
-    pub(super) fn note_outcome(&mut self, now: Time, pending: &Pending, answered: bool) {
-        if pending.errand.in_turn {
+    pub(super) fn record_outcome(&mut self, now: Time, pending: &Pending, answered: bool) {
+        if pending.request.is_scheduled {
             self.outcomes.push_back(Outcome { sent: pending.sent, answered });
         }
-        let oldest = EVIDENCE_MS + self.judged_after_ms();
+        let oldest = EVIDENCE_MS + self.settled_after_ms();
         while self.outcomes.front().is_some_and(|first| now.since(first.sent) > oldest) {
             self.outcomes.pop_front();
         }
     }
 
-    /// Time from sending a probe until it has surely been answered or judged unanswered.
-    const fn judged_after_ms(&self) -> u64 {
-        3 * self.pace.answer_within_ms
+    /// Returns the time after which a probe has been answered or counted as unanswered.
+    const fn settled_after_ms(&self) -> u64 {
+        3 * self.timing.answer_timeout_ms
     }
 
-    /// Whether a probe of the process at `address` is on its way.
-    pub(super) fn is_asked(&self, address: SocketAddr) -> bool {
-        self.pending.values().any(|pending| pending.errand.target == address)
+    /// Returns whether a probe of the process at `address` is pending.
+    pub(super) fn is_probed(&self, address: SocketAddr) -> bool {
+        self.pending.values().any(|pending| pending.request.target == address)
     }
 
-    /// Whether more evidence is wanted quickly: an own probe went unanswered or, in a small fleet,
-    /// somebody is suspect at all.
-    pub(super) fn is_hasty(&self) -> bool {
-        let small = self.beliefs.living().len() <= SMALL;
-        self.beliefs.suspects().any(|belief| small || belief.failed.is_some())
+    /// Returns whether evidence is needed quickly: a suspect left a probe of this process
+    /// unanswered or, in a small fleet, any process is suspect.
+    pub(super) fn probes_fast(&self) -> bool {
+        let small = self.beliefs.living().len() <= SMALL_FLEET;
+        self.beliefs.suspects().any(|belief| small || belief.failed_at.is_some())
     }
 
-    /// How the probes went that were sent since `since` and are old enough to have been judged.
+    /// Returns the outcomes of the probes that were sent since `since` and have timed out or could
+    /// have.
     ///
-    /// Answers come at once and silence shows late, so counting younger ones would make a process
-    /// that was just cut off look well.
+    /// Answers arrive at once and missing ones show only after the timeout. Counting later probes
+    /// would make the connection of a process that was just isolated look healthy.
     fn evidence(&self, now: Time, since: Time) -> Evidence {
-        let youngest = self.judged_after_ms();
-        let judged = self
+        let settled_after = self.settled_after_ms();
+        let settled = self
             .outcomes
             .iter()
-            .filter(|outcome| outcome.sent >= since && now.since(outcome.sent) >= youngest);
-        let all = judged.clone().count();
-        Evidence { all, failed: judged.filter(|outcome| !outcome.answered).count() }
+            .filter(|outcome| outcome.sent >= since && now.since(outcome.sent) >= settled_after);
+        let all = settled.clone().count();
+        Evidence { all, failed: settled.filter(|outcome| !outcome.answered).count() }
     }
 
-    /// Whether this process met the silence of a suspect itself and is surely well connected.
-    fn is_sure(&self, now: Time, belief: &Belief) -> bool {
-        let Some(failed) = belief.failed else {
+    /// Returns whether a suspect left a probe of this process unanswered while this process's own
+    /// connection works.
+    fn is_confirmed(&self, now: Time, belief: &Belief) -> bool {
+        let Some(failed_at) = belief.failed_at else {
             return false;
         };
-        if self.beliefs.living().len() < FEW {
+        if self.beliefs.living().len() < MIN_OTHERS {
             return true;
         }
-        let evidence = self.evidence(now, failed);
-        evidence.all >= ENOUGH && evidence.failed * SURE_PARTS <= evidence.all
+        let evidence = self.evidence(now, failed_at);
+        evidence.all >= MIN_PROBES && evidence.failed * MAX_FAILED_ONE_IN <= evidence.all
     }
 
-    /// Whether most probes over a long time went unanswered.
-    fn is_cut_off(&self, now: Time) -> bool {
+    /// Returns whether most probes of the last [`EVIDENCE_MS`] went unanswered.
+    fn is_isolated(&self, now: Time) -> bool {
         let evidence = self.evidence(now, Time::ZERO);
-        self.beliefs.living().len() >= FEW && 2 * evidence.failed > evidence.all
+        self.beliefs.living().len() >= MIN_OTHERS && 2 * evidence.failed > evidence.all
     }
 
-    /// Asks suspects again while they have time left, so that one lost answer condemns nobody and,
-    /// in a small fleet, so that word of a suspicion is checked while the time runs.
-    pub(super) fn ask_suspects_again(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let small = self.beliefs.living().len() <= SMALL;
+    /// Probes suspects again before their timeout, so that one lost answer does not cause a
+    /// declared death. In a small fleet this also checks suspicions that came as rumors.
+    pub(super) fn probe_suspects_again(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let small = self.beliefs.living().len() <= SMALL_FLEET;
         let suspects: Vec<SocketAddr> = self
             .beliefs
             .suspects()
-            .filter(|belief| belief.failed.is_some() || small)
-            .filter(|belief| now.since(belief.since) < self.pace.hold_for_ms)
+            .filter(|belief| belief.failed_at.is_some() || small)
+            .filter(|belief| now.since(belief.since) < self.timing.max_suspicion_ms)
             .map(|belief| belief.rumor.record.address)
-            .filter(|address| !self.is_asked(*address))
-            .take(PER_TICK)
+            .filter(|address| !self.is_probed(*address))
+            .take(PROBES_PER_TICK)
             .collect();
         for address in suspects {
-            actions.extend(self.doubt(now, address));
+            actions.extend(self.probe_now(now, address));
         }
     }
 
-    /// Gives up suspects whose time is over and whose silence this process met itself.
+    /// Declares suspects dead whose suspicion has timed out and that left a probe of this process
+    /// unanswered.
     ///
-    /// Guards against a mass removal when the observer or its failure domain is cut off: then very
-    /// many go silent at once and the last good view is the better one. A suspect is given up soon
-    /// only if enough other probes sent since its own went unanswered were answered and at most a
-    /// third of all are silent; otherwise after `hold_for_ms`; and nobody while most probes fail.
-    pub(super) fn give_up_suspects(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let silent = self.beliefs.suspect_count();
-        if silent == 0 {
+    /// Guards against a mass removal when this process or its failure domain is isolated: then very
+    /// many processes become suspect at once, and keeping the last good view is better. A suspect
+    /// is declared dead after `suspicion_timeout_ms` only if at most a third of all processes are
+    /// suspect and enough other probes that were sent since the unanswered one were answered.
+    /// Otherwise it is declared dead after `max_suspicion_ms`, and no suspect is while most probes
+    /// go unanswered.
+    pub(super) fn declare_dead(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let suspects = self.beliefs.suspect_count();
+        if suspects == 0 {
             return;
         }
-        if self.is_cut_off(now) {
-            // What went unanswered while this process was cut off proves nothing once it is not.
-            return self.beliefs.start_over(now);
+        if self.is_isolated(now) {
+            // Probes that went unanswered during the isolation are no evidence after it.
+            return self.beliefs.restart_suspicions(now);
         }
-        let many = silent >= FEW && silent * 3 > self.beliefs.living().len();
+        let is_mass_failure = suspects >= MIN_OTHERS && suspects * 3 > self.beliefs.living().len();
         let waited = |belief: &&Belief, millis| now.since(belief.since) >= millis;
-        let over: Vec<Rumor> = self
+        let dead: Vec<Rumor> = self
             .beliefs
             .suspects()
-            .filter(|belief| waited(belief, self.pace.suspect_for_ms) && belief.failed.is_some())
             .filter(|belief| {
-                waited(belief, self.pace.hold_for_ms) || (!many && self.is_sure(now, belief))
+                waited(belief, self.timing.suspicion_timeout_ms) && belief.failed_at.is_some()
+            })
+            .filter(|belief| {
+                waited(belief, self.timing.max_suspicion_ms)
+                    || (!is_mass_failure && self.is_confirmed(now, belief))
             })
             .map(|belief| Rumor { health: Health::Dead, ..belief.rumor.clone() })
             .collect();
-        let hearsay = self.beliefs.suspects().filter(|belief| belief.failed.is_none());
-        let hearsay = hearsay.filter(|belief| waited(belief, self.pace.suspect_for_ms));
-        let unsure: Vec<SocketAddr> = hearsay
+        let reported = self.beliefs.suspects().filter(|belief| belief.failed_at.is_none());
+        let reported = reported.filter(|belief| waited(belief, self.timing.suspicion_timeout_ms));
+        let unverified: Vec<SocketAddr> = reported
             .map(|belief| belief.rumor.record.address)
-            .filter(|address| !self.is_asked(*address))
-            .take(PER_TICK)
+            .filter(|address| !self.is_probed(*address))
+            .take(PROBES_PER_TICK)
             .collect();
-        for address in unsure {
-            actions.extend(self.doubt(now, address));
+        for address in unverified {
+            actions.extend(self.probe_now(now, address));
         }
-        for rumor in over {
+        for rumor in dead {
             self.rumors.add(rumor.clone());
             self.believe(now, rumor, actions);
         }
--- a/crates/nutmegkeel_core/src/peer.rs
+++ b/crates/nutmegkeel_core/src/peer.rs
@@ -1,4 +1,4 @@
-//! What every process does with its peers: membership, and the configuration that rides along.
+//! Communication of a process with its peers: membership and the spread of the configuration.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -6,137 +6,138 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Time;
-use crate::configuration::{Book, Entry, Revision};
+use crate::configuration::{Entry, Revision, Table};
 use crate::member::{Health, Instance, Record, Role, Rumor};
-use crate::membership::{self, Membership, Pace};
+use crate::membership::{self, Membership, Timing};
 
-/// Peers that an entry is pushed to at once when it is new here.
-const PUSHED_TO: usize = 3;
-/// Entries in one message at most, so that it fits a datagram.
-const ENTRIES: usize = 6;
-/// Least time between two fetches of configuration, in milliseconds.
-const FETCH_EVERY_MS: u64 = 200;
+/// Number of peers to which a new entry is sent at once.
+const PUSH_FANOUT: usize = 3;
+/// Maximum number of entries in one message, so that it fits into a datagram.
+const MAX_ENTRIES: usize = 6;
+/// Minimum interval between two fetches of the configuration, in milliseconds.
+const FETCH_INTERVAL_MS: u64 = 200;
 
-/// A message between processes. Each one tells the sender's configuration revision.
+/// A message between processes. Each one carries the configuration revision of its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The greatest revision known to the sender.
+    /// The highest revision that the sender holds.
     pub revision: Revision,
-    /// The message itself.
+    /// Content of the message.
     pub body: Body,
 }
 
 /// Kinds of messages between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// About who lives.
+    /// See [`membership::Message`].
     Membership(membership::Message),
-    /// Send me the entries after this revision.
+    /// Asks for the entries after this revision.
     Fetch(Revision),
     /// Entries of the configuration.
     Entries(Vec<Entry>),
-    /// An operator wants this run of the receiver to leave.
+    /// An operator drains this instance of the receiver.
     Drain(Instance),
 }
 
-/// What the driver does for a peer.
+/// Output of a peer, carried out by its driver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
     /// Send to the process at this address.
     Send(SocketAddr, Message),
-    /// Send to any balancer, by the fabric's address.
+    /// Send to the address of the fabric, which delivers to any balancer.
     Join(Message),
-    /// The belief about a process changed.
+    /// The record or health of a process changed.
     Changed(Rumor),
-    /// A run of a process is over.
+    /// An instance of a process ended.
     Gone(SocketAddr, Instance),
-    /// A newer entry of the configuration is in force here.
+    /// A newer entry of the configuration is in force at this process.
     InForce(Entry),
-    /// A later run has this process's address: it must stop.
+    /// A later instance runs at the address of this process, so this process must stop.
     Superseded,
-    /// An operator wants this process to leave.
+    /// An operator drains this process.
     Drain,
 }
 
-/// One process among its peers.
+/// State of a process that concerns its peers.
 #[derive(Debug)]
 pub struct Peer {
     membership: Membership,
-    book: Book,
+    configuration: Table,
     balancers: BTreeSet<SocketAddr>,
-    neighbours: BTreeSet<SocketAddr>,
+    domain_balancers: BTreeSet<SocketAddr>,
     revisions: BTreeMap<SocketAddr, Revision>,
     next_fetch: Time,
 }
 
 impl Peer {
-    /// A peer that knows only itself.
+    /// Creates a peer that knows only itself.
     #[must_use]
-    pub fn open(me: Record, pace: Pace, seed: u64) -> Self {
+    pub fn open(me: Record, timing: Timing, seed: u64) -> Self {
         Self {
-            membership: Membership::open(me, pace, seed),
-            book: Book::default(),
+            membership: Membership::open(me, timing, seed),
+            configuration: Table::default(),
             balancers: BTreeSet::new(),
-            neighbours: BTreeSet::new(),
+            domain_balancers: BTreeSet::new(),
             revisions: BTreeMap::new(),
             next_fetch: Time::ZERO,
         }
     }
 
-    /// The view of others.
+    /// Returns the membership view.
     #[must_use]
     pub const fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The view of others, to change this process's own record.
+    /// Returns the membership view, to change the record of this process.
     pub const fn membership_mut(&mut self) -> &mut Membership {
         &mut self.membership
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration in force at this process.
     #[must_use]
-    pub const fn book(&self) -> &Book {
-        &self.book
+    pub const fn configuration(&self) -> &Table {
+        &self.configuration
     }
 
-    /// Balancers other than this process that take packets from the fabric.
+    /// Returns the other balancers that receive packets from the fabric.
     #[must_use]
     pub const fn balancers(&self) -> &BTreeSet<SocketAddr> {
         &self.balancers
     }
 
-    /// Those of [`Peer::balancers`] that are in this process's failure domain.
+    /// Returns those of [`Peer::balancers`] that are in the failure domain of this process.
     #[must_use]
-    pub const fn neighbours(&self) -> &BTreeSet<SocketAddr> {
-        &self.neighbours
+    pub const fn domain_balancers(&self) -> &BTreeSet<SocketAddr> {
+        &self.domain_balancers
     }
 
-    /// The configuration revision that another balancer told last, if it told one.
+    /// Returns the configuration revision in the last message of another balancer, if there was
+    /// one.
     #[must_use]
     pub fn revision_of(&self, balancer: SocketAddr) -> Option<Revision> {
         self.revisions.get(&balancer).copied()
     }
 
-    /// The greatest configuration revision that another balancer told.
+    /// Returns the highest configuration revision in the last messages of the other balancers.
     #[must_use]
-    pub fn newest_told(&self) -> Revision {
+    pub fn newest_reported(&self) -> Revision {
         self.revisions.values().max().copied().unwrap_or_default()
     }
 
-    /// Asks a run of another process to leave.
+    /// Returns the message that drains an instance of another process.
     #[must_use]
-    pub fn ask_to_leave(&self, address: SocketAddr, instance: Instance) -> Action {
+    pub fn drain(&self, address: SocketAddr, instance: Instance) -> Action {
         Action::Send(address, self.message(Body::Drain(instance)))
     }
 
-    /// Time passes.
+    /// Handles the passage of time, see [`Membership::tick`].
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
         let actions = self.membership.tick(now);
         self.wrap(actions)
     }
 
-    /// A message arrived from the process at `from`.
+    /// Handles a message from the process at `from`.
     pub fn receive(&mut self, now: Time, from: SocketAddr, message: Message) -> Vec<Action> {
         let mut actions = match message.body {
             Body::Membership(body) => {
@@ -144,8 +145,8 @@
                 self.wrap(actions)
             }
             Body::Fetch(since) => self.entries_for(from, since),
-            Body::Entries(entries) => self.learn(entries),
-            // A drain that was meant for an earlier run at this address concerns nobody here.
+            Body::Entries(entries) => self.apply_entries(entries),
+            // A drain for an earlier instance at this address is ignored.
             Body::Drain(instance) if instance == self.membership.me().instance => {
                 vec![Action::Drain]
             }
@@ -154,40 +155,47 @@
         if self.balancers.contains(&from) {
             self.revisions.insert(from, message.revision);
         }
-        if message.revision > self.book.revision() && now >= self.next_fetch {
-            self.next_fetch = now.after(FETCH_EVERY_MS);
-            let fetch = Body::Fetch(self.book.revision());
+        if message.revision > self.configuration.revision() && now >= self.next_fetch {
+            self.next_fetch = now.after(FETCH_INTERVAL_MS);
+            let fetch = Body::Fetch(self.configuration.revision());
             actions.push(Action::Send(from, self.message(fetch)));
         }
         actions
     }
 
-    /// The data path heard from a process.
-    pub fn heard(&mut self, now: Time, address: SocketAddr, instance: Instance) -> Vec<Action> {
-        let actions = self.membership.heard(now, address, instance);
+    /// Handles a packet on the data path from a process, which proves that it is alive.
+    pub fn confirm_alive(
+        &mut self,
+        now: Time,
+        address: SocketAddr,
+        instance: Instance,
+    ) -> Vec<Action> {
+        let actions = self.membership.confirm_alive(now, address, instance);
         self.wrap(actions)
     }
 
-    /// The data path met silence.
-    pub fn doubt(&mut self, now: Time, address: SocketAddr) -> Vec<Action> {
-        let actions = self.membership.doubt(now, address);
+    /// Probes a process that did not answer on the data path.
+    pub fn probe_now(&mut self, now: Time, address: SocketAddr) -> Vec<Action> {
+        let actions = self.membership.probe_now(now, address);
         self.wrap(actions)
     }
 
-    /// Words of a planned stop.
-    pub fn farewell(&mut self) -> Vec<Action> {
-        let actions = self.membership.farewell();
+    /// Sends the record of this process to a few peers at once.
+    pub fn push_record(&mut self) -> Vec<Action> {
+        let actions = self.membership.push_record();
         self.wrap(actions)
     }
 
-    /// Entries from the platform, a peer or an accepted write. New ones go on to a few peers at
-    /// once, so that a change spreads even if the platform is down straight after it was accepted.
-    pub fn learn(&mut self, entries: Vec<Entry>) -> Vec<Action> {
+    /// Applies entries from the platform, a peer or an accepted write.
+    ///
+    /// New entries are sent to a few peers at once, so that a change spreads even if the platform
+    /// becomes unavailable right after it accepted the change.
+    pub fn apply_entries(&mut self, entries: Vec<Entry>) -> Vec<Action> {
         let new: Vec<Entry> =
-            entries.into_iter().filter(|entry| self.book.learn(entry.clone())).collect();
+            entries.into_iter().filter(|entry| self.configuration.apply(entry.clone())).collect();
         let mut actions: Vec<Action> = new.iter().cloned().map(Action::InForce).collect();
-        for part in new.chunks(ENTRIES) {
-            for peer in self.membership.some(PUSHED_TO) {
+        for part in new.chunks(MAX_ENTRIES) {
+            for peer in self.membership.sample(PUSH_FANOUT) {
                 let message = self.message(Body::Entries(part.to_vec()));
                 actions.push(Action::Send(peer, message));
             }
@@ -196,40 +204,40 @@
     }
 
     fn entries_for(&self, to: SocketAddr, since: Revision) -> Vec<Action> {
-        self.book
+        self.configuration
             .newer(since)
-            .chunks(ENTRIES)
+            .chunks(MAX_ENTRIES)
             .map(|part| Action::Send(to, self.message(Body::Entries(part.to_vec()))))
             .collect()
     }
 
     const fn message(&self, body: Body) -> Message {
-        Message { revision: self.book.revision(), body }
+        Message { revision: self.configuration.revision(), body }
     }
 
     fn wrap(&mut self, actions: Vec<membership::Action>) -> Vec<Action> {
         for action in &actions {
             if let membership::Action::Changed(rumor) = action {
-                self.note(rumor);
+                self.record_balancer(rumor);
             }
         }
         actions.into_iter().map(|action| self.wrap_one(action)).collect()
     }
 
-    fn note(&mut self, rumor: &Rumor) {
+    fn record_balancer(&mut self, rumor: &Rumor) {
         if rumor.record.role != Role::Balancer {
             return;
         }
         let address = rumor.record.address;
         self.balancers.remove(&address);
         self.revisions.remove(&address);
-        self.neighbours.remove(&address);
+        self.domain_balancers.remove(&address);
         if rumor.health == Health::Dead || !rumor.record.phase.takes_new() {
             return;
         }
         self.balancers.insert(address);
         if rumor.record.domain == self.membership.me().domain {
-            self.neighbours.insert(address);
+            self.domain_balancers.insert(address);
         }
     }
 
--- a/crates/nutmegkeel_core/tests/agent.rs
+++ b/crates/nutmegkeel_core/tests/agent.rs
@@ -1,16 +1,16 @@
-//! The agent at its last hop: leaving, passing on, answering.
+//! The agent: accepting and passing on flows, leaving, requests and return paths.
 
 use std::collections::BTreeSet;
 
 use nutmegkeel_core::admission::{Decision, Id};
 use nutmegkeel_core::agent::{Action, Agent, Event, Opening};
 use nutmegkeel_core::clock::Time;
-use nutmegkeel_core::life::{Phase, WARM_UP_MS};
+use nutmegkeel_core::lifecycle::{Phase, WARM_UP_MS};
 use nutmegkeel_core::load::Report;
 use nutmegkeel_core::member::{Capacity, Instance};
-use nutmegkeel_core::membership::Pace;
+use nutmegkeel_core::membership::Timing;
 use nutmegkeel_core::placement::{Candidate, Hop, Key, Pool, Rule};
-use nutmegkeel_core::reply::{Paths, SILENT_MS};
+use nutmegkeel_core::return_path::{Paths, SWITCH_AFTER_MS};
 use nutmegkeel_fake::fleet::{self, address};
 
 const NEXT: Hop = Hop {
@@ -32,7 +32,7 @@
 fn serving(connections: u32) -> Agent {
     let capacity = capacity(connections);
     let record = fleet::agent(1, "intake");
-    let mut agent = Agent::open(record, capacity.clone(), Pace::default(), 1);
+    let mut agent = Agent::open(record, capacity.clone(), Timing::default(), 1);
     agent.handle(at(0), Event::Announced(capacity));
     agent.handle(at(WARM_UP_MS), Event::Tick);
     assert_eq!(agent.phase(), Phase::Serving);
@@ -47,17 +47,17 @@
     pool
 }
 
-/// Keys spread evenly, as a hash would.
-const fn mixed(number: u64) -> u64 {
+/// Spreads keys uniformly, like a hash.
+const fn hashed(number: u64) -> u64 {
     number.wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
 fn opening(key: u64) -> Event {
-    Event::Opening(Opening { key: Key::new(key), next: Some(NEXT), passes: 0, spares: false })
+    Event::Opening(Opening { key: Key::new(key), next: Some(NEXT), passes: 0, prefers_next: false })
 }
 
-/// A draining server keeps getting filings for seconds, because two balancers have not heard yet.
-/// The agent itself passes new flows on from the moment it leaves, whoever sent them.
+/// Guards against new flows at a draining backend server: balancers learn only after some seconds
+/// that it leaves. Its agent must pass new flows on as soon as it leaves.
 #[test]
 fn a_leaving_agent_passes_new_flows_on_at_once() {
     let mut agent = serving(2_000);
@@ -68,10 +68,10 @@
     assert_eq!(actions, [Action::PassOn(NEXT)]);
 }
 
-/// The packets of one opening arrive before and after the agent began to leave; the flow would be
-/// opened at two agents. A held opening stays.
+/// Guards against a flow that is opened at two agents: the packets of its opening arrive before and
+/// after the agent starts to leave. An accepted opening must not be passed on.
 #[test]
-fn an_opening_that_is_held_is_not_passed_on() {
+fn an_accepted_opening_is_not_passed_on() {
     let mut agent = serving(2_000);
     agent.handle(at(3_000), opening(1));
 
@@ -89,64 +89,65 @@
     assert_eq!(agent.handle(at(3_000), opening(1)), [Action::PassOn(NEXT)]);
 }
 
-/// A call breaks with a protocol error while it opens. A balancer has started a second ago and knows no
-/// loads yet; the caller sends two copies of its opening at once, which reach this balancer and an
-/// older one. Sent to two agents, both are answered, and the caller mixes the answers up.
+/// Guards against protocol errors during the handshake: a caller sends two copies of its opening,
+/// which reach a balancer without load reports, because it just started, and one with them. If the
+/// copies reached two agents, both would answer.
 #[test]
-fn two_copies_of_an_opening_meet_at_one_agent_whatever_the_balancers_know_of_loads() {
+fn two_copies_of_an_opening_reach_the_same_agent_whatever_loads_the_balancers_know() {
     let busy = Report { connections: 500, busy: 7, queued: 20 };
-    let takers: BTreeSet<_> = (0..200)
+    let results: BTreeSet<_> = (0..200)
         .filter_map(|number| {
-            let key = Key::new(mixed(number));
-            let mut young = pool_of_two();
-            let mut old = pool_of_two();
-            let first = old.place(key, Rule::Rendezvous, 2)?.first;
-            old.heard(first, busy);
+            let key = Key::new(hashed(number));
+            let mut uninformed = pool_of_two();
+            let mut informed = pool_of_two();
+            let first = informed.place(key, Rule::Rendezvous, 2)?.first;
+            informed.apply_report(first, busy);
             let mut agent = serving(2_000);
-            let mut way = |pool: &mut Pool| {
+            let mut place = |pool: &mut Pool| {
                 let choice = pool.place(key, Rule::LoadedRendezvous, 2)?;
                 let opening = Opening::open(key, &choice);
                 let actions = agent.handle(at(3_000), Event::Opening(opening));
-                Some((choice.first, actions, choice.spares_first))
+                Some((choice.first, actions, choice.prefers_next))
             };
-            let (to_old, by_old, spared) = way(&mut old)?;
-            let (to_young, by_young, spared_too) = way(&mut young)?;
-            assert!(spared && !spared_too, "the views differ");
-            Some((to_old == to_young, by_old == by_young))
+            let (to_informed, by_informed, prefers_next) = place(&mut informed)?;
+            let (to_uninformed, by_uninformed, prefers_next_too) = place(&mut uninformed)?;
+            assert!(prefers_next && !prefers_next_too, "the balancers prefer different agents");
+            Some((to_informed == to_uninformed, by_informed == by_uninformed))
         })
         .collect();
 
-    assert_eq!(takers, BTreeSet::from([(true, true)]));
+    assert_eq!(results, BTreeSet::from([(true, true)]));
 }
 
-/// The next agent dies with the opening in its hands. The balancers name another one by then, and the
-/// first agent must not go on sending copies to the dead one.
+/// Guards against retransmissions that are passed on to a dead agent: the second choice died after
+/// the opening was passed on to it, and the balancers have replaced it with another one.
 #[test]
-fn a_copy_follows_the_balancers_to_another_agent() {
+fn a_retransmission_is_passed_on_to_the_latest_second_choice() {
     let other = Hop { instance: Instance::new(9), ..NEXT };
-    let spared = Opening { key: Key::new(1), next: Some(NEXT), passes: 0, spares: true };
+    let original = Opening { key: Key::new(1), next: Some(NEXT), passes: 0, prefers_next: true };
     let mut agent = serving(2_000);
-    agent.handle(at(3_000), Event::Opening(spared));
+    agent.handle(at(3_000), Event::Opening(original));
 
-    let copy = Event::Opening(Opening { next: Some(other), ..spared });
+    let copy = Event::Opening(Opening { next: Some(other), ..original });
 
     assert_eq!(agent.handle(at(4_000), copy), [Action::PassOn(other)]);
 }
 
-/// Two full agents pass an opening to and fro for ever. It must stay after a few passes.
+/// Guards against an endless loop in which two full agents pass an opening back and forth.
 #[test]
-fn an_opening_is_passed_on_a_few_times_only() {
+fn an_opening_is_passed_on_a_limited_number_of_times() {
     let mut agent = serving(1);
     agent.handle(at(3_000), Event::FlowOpened);
 
-    let tired = Opening { key: Key::new(1), next: Some(NEXT), passes: 2, spares: false };
+    let passed_twice =
+        Opening { key: Key::new(1), next: Some(NEXT), passes: 2, prefers_next: false };
 
-    assert_eq!(agent.handle(at(3_000), Event::Opening(tired)), [Action::Deliver]);
+    assert_eq!(agent.handle(at(3_000), Event::Opening(passed_twice)), [Action::Deliver]);
 }
 
-/// A record download is cut because its server's agent exited while it was in progress.
+/// Guards against a request that is aborted because the agent exits while it is in progress.
 #[test]
-fn a_leaving_agent_lives_until_its_last_flow_and_request_are_over() {
+fn a_leaving_agent_runs_until_its_last_flow_and_request_end() {
     let mut agent = serving(2_000);
     agent.handle(at(3_000), Event::FlowOpened);
     let started = agent.handle(at(3_000), Event::Request(Id(1), at(60_000)));
@@ -166,8 +167,8 @@
     assert_eq!(agent.phase(), Phase::Gone);
 }
 
-/// A backend server that breaks off every request is hit twice as hard by the system's retries.
-/// They are bounded to a tenth of the requests.
+/// Guards against retries that double the load of a backend server which aborts every request.
+/// They must be limited to a tenth of the requests.
 #[test]
 fn retries_are_bounded_to_a_tenth_of_the_requests() {
     let mut agent = serving(2_000);
@@ -183,9 +184,9 @@
     assert_eq!(retries, 100);
 }
 
-/// A cancelled request keeps its slot, and after seven of them the desk answers nobody.
+/// Guards against cancelled requests that keep their slots until no request can start any more.
 #[test]
-fn cancelled_requests_give_their_slots_back() {
+fn cancelled_requests_free_their_slots() {
     let mut agent = serving(2_000);
     for id in 0..7 {
         agent.handle(at(3_000), Event::Request(Id(id), at(60_000)));
@@ -200,18 +201,18 @@
     assert_eq!(agent.report().busy, 1);
 }
 
-/// A feed falls silent for good: its balancer died, the caller acknowledges only what reaches it,
-/// and the agent goes on answering through the dead balancer.
+/// Guards against a flow that stalls after the death of its balancer: the caller only acknowledges
+/// what reaches it, so an agent that keeps answering through that balancer gets no other path.
 #[test]
-fn answers_turn_to_another_balancer_when_the_caller_is_silent() {
+fn answers_switch_to_another_balancer_when_the_caller_sends_nothing() {
     let living: BTreeSet<_> = [address(1), address(2)].into();
     let caller = address(500);
     let mut paths = Paths::default();
-    paths.heard(at(0), caller, address(1));
+    paths.record(at(0), caller, address(1));
 
-    let soon = paths.way(at(SILENT_MS), caller, &living);
-    let late = paths.way(at(SILENT_MS + 1), caller, &living);
-    let later = paths.way(at(2 * SILENT_MS + 2), caller, &living);
+    let soon = paths.choose(at(SWITCH_AFTER_MS), caller, &living);
+    let late = paths.choose(at(SWITCH_AFTER_MS + 1), caller, &living);
+    let later = paths.choose(at(2 * SWITCH_AFTER_MS + 2), caller, &living);
 
     assert_eq!([soon, late, later], [Some(address(1)), Some(address(2)), Some(address(1))]);
 }
--- a/crates/nutmegkeel_core/tests/configuration.rs
+++ b/crates/nutmegkeel_core/tests/configuration.rs
@@ -1,10 +1,10 @@
-//! An operator's change on its way to every process.
+//! Spread of configuration changes to all processes.
 
 use nutmegkeel_core::balancer::{Balancer, Event};
 use nutmegkeel_core::class::Target;
 use nutmegkeel_core::clock::Time;
-use nutmegkeel_core::configuration::{Book, Entry, Revision, Standing};
-use nutmegkeel_core::membership::Pace;
+use nutmegkeel_core::configuration::{Entry, Revision, Standing, Table};
+use nutmegkeel_core::membership::Timing;
 use nutmegkeel_core::peer::{Body, Message};
 use nutmegkeel_core::placement::Rule;
 use nutmegkeel_fake::fleet::{Fleet, address, balancer};
@@ -16,13 +16,17 @@
 }
 
 fn in_force(fleet: &Fleet, revision: u64) -> usize {
-    fleet.peers.values().filter(|peer| peer.book().revision() == Revision(revision)).count()
+    fleet
+        .peers
+        .values()
+        .filter(|peer| peer.configuration().revision() == Revision(revision))
+        .count()
 }
 
-/// An operator's change is in force on one balancer and never on the others: the platform went
-/// down straight after it was accepted, and only the platform was asked.
+/// Guards against a change that is in force on one balancer only: the platform becomes unavailable
+/// right after it accepted the change, so the other balancers must get it from peers.
 #[test]
-fn a_change_reaches_everybody_without_the_platform() {
+fn a_change_reaches_all_balancers_without_the_platform() {
     for seed in 0..5 {
         let mut fleet = Fleet::open((0..40).map(balancer).collect(), seed);
         fleet.run_for(8_000);
@@ -35,9 +39,9 @@
     }
 }
 
-/// A balancer that was frozen during a change wakes with the old target and must catch up.
+/// Guards against a balancer that keeps the old target because it was paused during a change.
 #[test]
-fn a_frozen_balancer_catches_up() {
+fn a_paused_balancer_catches_up() {
     let mut fleet = Fleet::open((0..10).map(balancer).collect(), 1);
     fleet.run_for(8_000);
     fleet.halted.insert(address(3));
@@ -50,9 +54,10 @@
     assert_eq!(in_force(&fleet, 1), 10);
 }
 
-/// A newcomer starts while the platform is down and serves without any target.
+/// Guards against a new balancer that serves without targets because the platform is unavailable
+/// when it starts.
 #[test]
-fn a_newcomer_gets_the_configuration_from_its_peers() {
+fn a_new_balancer_gets_the_configuration_from_its_peers() {
     let mut fleet = Fleet::open((0..5).map(balancer).collect(), 1);
     fleet.run_for(8_000);
     fleet.learn(address(1), entry(9));
@@ -65,20 +70,20 @@
 }
 
 fn open_balancer() -> Balancer {
-    Balancer::open(balancer(1), Pace::default(), Rule::LoadedRendezvous, 1)
+    Balancer::open(balancer(1), Timing::default(), Rule::LoadedRendezvous, 1)
 }
 
-/// A message of a balancer that has a change which it does not carry along.
-fn news_of(revision: u64) -> Event {
-    let announced = nutmegkeel_core::membership::Message::Join(balancer(2));
-    let body = Body::Membership(announced);
+/// Returns a message from a balancer that has this revision, without the entry itself.
+fn message_with_revision(revision: u64) -> Event {
+    let join = nutmegkeel_core::membership::Message::Join(balancer(2));
+    let body = Body::Membership(join);
     Event::Message(address(2), Message { revision: Revision(revision), body })
 }
 
-/// An operator is told that a class does not exist by a balancer that has only just started, and makes
-/// it a second time. Before its first read of the platform a balancer knows of nothing.
+/// Guards against an operator who creates a class a second time: a balancer that just started, and
+/// has not read the platform yet, must not report that the class does not exist.
 #[test]
-fn a_balancer_that_has_read_nothing_does_not_know_the_classes() {
+fn a_balancer_that_has_not_read_the_platform_does_not_know_the_classes() {
     let mut balancer = open_balancer();
     assert_eq!(balancer.standing(), Standing::Unknown);
 
@@ -87,13 +92,13 @@
     assert_eq!(balancer.standing(), Standing::Current);
 }
 
-/// A class was made through one balancer a moment ago, and the operator asks another for it. That one
-/// has heard of the new revision and not got it yet: it may not say that there is no such class.
+/// Guards against a balancer that reports a new class as missing: it has received the new revision
+/// number in a message, but not the entry yet.
 #[test]
-fn a_balancer_that_heard_of_a_newer_revision_knows_that_it_is_behind() {
+fn a_balancer_that_received_a_newer_revision_number_is_behind() {
     let mut balancer = open_balancer();
     balancer.handle(Time::ZERO, Event::Read(Vec::new()));
-    balancer.handle(Time::ZERO, news_of(7));
+    balancer.handle(Time::ZERO, message_with_revision(7));
     assert_eq!(balancer.standing(), Standing::Behind(Revision(7)));
 
     balancer.handle(Time::ZERO, Event::Accepted(entry(7)));
@@ -101,16 +106,16 @@
     assert_eq!(balancer.standing(), Standing::Current);
 }
 
-/// A target that was changed twice goes back to the first change: its message came late.
+/// Checks that a target never reverts to an earlier change whose message arrives late.
 fn never_reverts(revisions: Vec<u8>) -> bool {
-    let mut book = Book::default();
+    let mut table = Table::default();
     let mut greatest = 0;
     revisions.iter().all(|revision| {
         let revision = u64::from(*revision);
-        book.learn(entry(revision));
+        table.apply(entry(revision));
         greatest = greatest.max(revision);
         let expected = (greatest > 0).then(|| 1_000 + greatest);
-        book.target("intake").map(|target| target.leave_within_ms) == expected
+        table.target("intake").map(|target| target.leave_within_ms) == expected
     })
 }
 
--- a/crates/nutmegkeel_core/tests/placement.rs
+++ b/crates/nutmegkeel_core/tests/placement.rs
@@ -61,8 +61,8 @@
     }
 }
 
-/// New flows go into the void: their agent's host died, and nobody has given it up yet.
-/// A suspect gets no new flow while another agent is trusted.
+/// Guards against new flows on an agent whose host died and that is not declared dead yet: a
+/// suspect must get no new flow while another agent is not suspect.
 #[test]
 fn a_suspect_gets_no_new_flow() {
     let mut pool = pool(3);
@@ -75,9 +75,10 @@
     assert_eq!(counts.get(&address(1)), None);
 }
 
-/// Two agents of five are suspect and rank first for many flows; they must rank behind the others.
+/// Guards against flows on suspect agents whose hashes rank first: with two of five agents suspect,
+/// all flows must go to the other three.
 #[test]
-fn suspects_rank_behind_the_trusted_whatever_the_rule() {
+fn suspects_rank_behind_all_others_under_every_rule() {
     let mut pool = pool(5);
     for number in [1, 2] {
         let mut suspect = Candidate::new(Instance::new(1), 7, 2_000);
@@ -94,17 +95,17 @@
     }
 }
 
-/// The two packets of one large opening come by two balancers, whose reports differ a little, and
-/// are placed apart: the handshake stalls until they are sent again. Within the tolerance of the
-/// class's target a flow stays with its first candidate.
+/// Guards against a handshake that stalls until a retransmission: the two packets of a large
+/// opening reach two balancers whose reports differ slightly and that place them on different
+/// agents. Within the tolerance of the class's target a flow must stay with its first candidate.
 #[test]
-fn small_differences_of_load_place_no_opening_apart() {
+fn small_load_differences_do_not_change_the_placement() {
     let (mut one, mut other) = (pool(7), pool(7));
     for number in 0..7 {
         let hop = Hop { address: address(number), instance: Instance::new(1) };
         let report = |connections| Report { connections, busy: 0, queued: 0 };
-        one.heard(hop, report(1_000 + u32::from(number)));
-        other.heard(hop, report(1_010 - u32::from(number)));
+        one.apply_report(hop, report(1_000 + u32::from(number)));
+        other.apply_report(hop, report(1_010 - u32::from(number)));
     }
 
     for flow in 0..50_u64 {
@@ -113,9 +114,10 @@
     }
 }
 
-/// Every agent is suspect, so the observer is the likelier fault: flows must still be placed.
+/// Guards against flows that are not placed when all agents are suspect. The connection of the
+/// balancer itself is then the more likely fault.
 #[test]
-fn all_suspect_is_as_good_as_none() {
+fn flows_are_placed_when_all_agents_are_suspect() {
     let mut pool = Pool::default();
     for number in 0..3 {
         let mut suspect = Candidate::new(Instance::new(1), 7, 2_000);
@@ -126,31 +128,31 @@
     assert_eq!(placed(&mut pool, RULE, 300).len(), 3);
 }
 
-/// Status checks hang at one desk while others are idle: a report of no load was old, and every
-/// balancer sent its new flows there until the next report. Own placements must count meanwhile.
+/// Guards against a thundering herd: an agent's last report shows no load, so every balancer places
+/// its new flows there until the next report. A balancer's own placements must count as load.
 #[test]
-fn a_stale_report_of_no_load_attracts_no_herd() {
+fn a_stale_report_of_no_load_does_not_attract_all_flows() {
     let mut pool = pool(7);
     for number in 1..7 {
         let hop = Hop { address: address(number), instance: Instance::new(1) };
-        pool.heard(hop, Report { connections: 100, busy: 0, queued: 0 });
+        pool.apply_report(hop, Report { connections: 100, busy: 0, queued: 0 });
     }
 
     let counts = placed(&mut pool, RULE, 2_000);
 
-    let herd = counts[&address(0)];
-    assert!(herd < 2_000 * 2 / 7, "{herd} of 2000 flows went to the idle agent");
+    let on_idle = counts[&address(0)];
+    assert!(on_idle < 2_000 * 2 / 7, "{on_idle} of 2000 flows went to the idle agent");
 }
 
-/// A report of an earlier run says nothing about the run that replaced it.
+/// Guards against a load report of an earlier instance that is applied to its successor.
 #[test]
-fn a_report_of_an_earlier_run_is_ignored() {
+fn a_report_of_an_earlier_instance_is_ignored() {
     let mut pool = pool(1);
     let later = Candidate::new(Instance::new(2), 7, 10);
     pool.insert(address(0), later.clone());
 
     let earlier = Hop { address: address(0), instance: Instance::new(1) };
-    pool.heard(earlier, Report { connections: 10, busy: 7, queued: 0 });
+    pool.apply_report(earlier, Report { connections: 10, busy: 7, queued: 0 });
 
     let mut fresh = Pool::default();
     fresh.insert(address(0), later);
--- a/crates/nutmegkeel_node/src/l4/configuration/watch.rs
+++ b/crates/nutmegkeel_node/src/l4/configuration/watch.rs
@@ -13,7 +13,7 @@
 use nutmegkeel_core::l4::watch::Timeouts;
 use nutmegkeel_core::revision::{Era, Revision};
 use nutmegkeel_platform::configuration::{self, Entry};
-use nutmegkeel_store::kv::{Change, Fault, Image, Pair, Registry, Watched};
+use nutmegkeel_store::kv::{Change, Fault, Pair, Registry, Snapshot, Watched};
 
 use super::Source;
 use crate::clock::Clock;
@@ -177,7 +177,7 @@
                 self.after = Some(until);
                 Ok(self.apply_changes(changes))
             }
-            Watched::Forgotten => {
+            Watched::Compacted => {
                 self.after = None;
                 self.next()
             }
@@ -187,17 +187,17 @@
     /// Reads all that the operator wrote. At the start a state that is some seconds old is
     /// sufficient: every balancer reads it then, and newer changes come with the watch or from
     /// other processes.
-    fn read_image(&mut self) -> Result<Image, Fault> {
+    fn read_image(&mut self) -> Result<Snapshot, Fault> {
         if self.has_read {
-            return self.store.image(configuration::PREFIX);
+            return self.store.snapshot(configuration::PREFIX);
         }
-        let image = self.store.image_recent(configuration::PREFIX)?;
+        let image = self.store.snapshot_recent(configuration::PREFIX)?;
         self.has_read = true;
         Ok(image)
     }
 
     /// Applies a complete image.
-    fn apply_image(&mut self, image: Image) -> Vec<Update> {
+    fn apply_image(&mut self, image: Snapshot) -> Vec<Update> {
         // While there is no configuration yet, a watch waits for it: each repeated read would cost
         // a call. An old list may come without a revision to continue from.
         self.after = (image.as_of.number > 0).then_some(image.as_of);
--- a/crates/nutmegkeel_node/src/l4/membership.rs
+++ b/crates/nutmegkeel_node/src/l4/membership.rs
@@ -150,7 +150,7 @@
         let is_isolated = self.read_at.is_some() && !receives_gossip;
         self.read_at = Some(now);
         let pairs = read(&self.store, &self.prefix, is_isolated)?;
-        self.registration.listed(now, &pairs);
+        self.registration.check_list(now, &pairs);
         (self.hooks.listed)(addresses(&pairs, &self.prefix));
         Ok(())
     }
--- a/crates/nutmegkeel_store/src/lib.rs
+++ b/crates/nutmegkeel_store/src/lib.rs
@@ -1,10 +1,10 @@
-//! The platform's key-value service: what lasts, and how the system reads and writes it.
+//! Persistent state in the platform's key-value store.
 
+pub mod batch;
 pub mod claims;
 pub mod classes;
 pub mod document;
 pub mod etcd;
-pub mod group;
 pub mod http;
 pub mod kv;
 pub mod lease;
--- a/crates/nutmegkeel_store/tests/claims.rs
+++ b/crates/nutmegkeel_store/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of keyed requests when the platform loses answers, is down, or knows the key already.
+//! Claims when the platform loses answers, is unavailable or already has the key.
 
 use nutmegkeel_core::admission::Id;
 use nutmegkeel_core::claim::{Claim, Ledger, Name, Outcome, Settled};
@@ -24,66 +24,67 @@
 }
 
 #[test]
-fn a_group_of_new_keys_takes_one_write() {
+fn a_batch_of_new_keys_takes_one_write() {
     let store = Memory::default();
-    let group: Vec<Claim> = (0..50).map(|id| claim(1, id, &format!("key {id}"))).collect();
+    let batch: Vec<Claim> = (0..50).map(|id| claim(1, id, &format!("key {id}"))).collect();
 
-    let outcomes = write(&store, &group);
+    let outcomes = write(&store, &batch);
 
     assert_eq!(outcomes, vec![Outcome::Ours; 50]);
     assert_eq!(store.writes(), 1);
 }
 
-/// A filing runs twice: its caller sent it again on a new flow after the first agent died, and the
-/// second agent had never seen the key.
+/// Guards against a request that runs twice: its caller repeats it on a new flow after the first
+/// agent died, and the second agent has never seen the key.
 #[test]
 fn a_key_that_another_agent_claimed_is_theirs() {
     let store = Memory::default();
-    write(&store, &[claim(1, 7, "filing 1")]);
+    write(&store, &[claim(1, 7, "key 1")]);
 
-    let outcomes = write(&store, &[claim(2, 1, "filing 2"), claim(2, 2, "filing 1")]);
+    let outcomes = write(&store, &[claim(2, 1, "key 2"), claim(2, 2, "key 1")]);
 
     assert_eq!(outcomes, [Outcome::Ours, Outcome::Theirs]);
 }
 
-/// The same key arrives on two flows of one agent and both requests are in one group.
+/// Guards against a request that runs twice: it arrives with the same key on two flows of one
+/// agent, and both claims are in one batch.
 #[test]
-fn a_key_twice_in_one_group_is_ours_once() {
+fn a_key_twice_in_one_batch_is_ours_once() {
     let store = Memory::default();
 
-    let outcomes = write(&store, &[claim(1, 1, "filing"), claim(1, 2, "filing")]);
+    let outcomes = write(&store, &[claim(1, 1, "key"), claim(1, 2, "key")]);
 
     assert_eq!(outcomes, [Outcome::Ours, Outcome::Theirs]);
 }
 
-/// A filing is refused although its claim was written, and can never run: the platform's answer
-/// was lost after the write took effect. Reading it back shows that the claim is ours.
+/// Guards against a request that is refused although its claim was written, and can never run: the
+/// answer to the write was lost. Reading the claim back must show that it is its own.
 #[test]
 fn a_lost_answer_is_resolved_by_reading_back() {
     let store = Memory::open(vec![Fate::Answered, Fate::AnswerLost]);
 
-    assert_eq!(write(&store, &[claim(1, 1, "filing")]), [Outcome::Ours]);
+    assert_eq!(write(&store, &[claim(1, 1, "key")]), [Outcome::Ours]);
 }
 
 #[test]
-fn a_call_that_was_lost_is_made_again() {
+fn a_lost_call_is_repeated() {
     let store = Memory::open(vec![Fate::Answered, Fate::CallLost]);
 
-    assert_eq!(write(&store, &[claim(1, 1, "filing")]), [Outcome::Ours]);
+    assert_eq!(write(&store, &[claim(1, 1, "key")]), [Outcome::Ours]);
     assert_eq!(store.writes(), 1);
 }
 
-/// The platform goes away between the lost answer and the reading back. The claim may exist, so
-/// the filing must not run; nobody may say that it did.
+/// Guards against a request that runs without a confirmed claim: the platform becomes unavailable
+/// between the lost answer and the read. The request must be refused as not run.
 #[test]
 fn a_claim_in_doubt_does_not_run() {
     let store = Memory::open(vec![Fate::Answered, Fate::AnswerLost, Fate::CallLost]);
-    let claim = claim(1, 1, "filing");
+    let claim = claim(1, 1, "key");
     let mut ledger = Ledger::default();
-    ledger.ask(claim, DEADLINE);
-    let group = ledger.group().expect("one claim waits");
+    ledger.request(claim, DEADLINE);
+    let batch = ledger.next_batch().expect("one claim waits");
 
-    let outcomes = write(&store, &group);
+    let outcomes = write(&store, &batch);
     let settled = ledger.written(Time::from_millis(5), &outcomes);
 
     assert_eq!(outcomes, [Outcome::Unknown]);
@@ -94,29 +95,29 @@
 fn a_platform_that_is_down_writes_nothing() {
     let store = Memory::open(vec![Fate::NotSent]);
 
-    assert_eq!(write(&store, &[claim(1, 1, "filing")]), [Outcome::NotWritten]);
+    assert_eq!(write(&store, &[claim(1, 1, "key")]), [Outcome::NotWritten]);
 }
 
-/// A filing runs twice: its agent was frozen between claim and start for so long that the platform
-/// forgot the claim and another agent claimed the key. On waking the first one still held "ours".
+/// Guards against a request that runs twice: its agent is paused between claim and start for so
+/// long that the platform removes the claim and another agent claims the key.
 #[test]
-fn a_claim_that_was_held_too_long_is_not_acted_upon() {
+fn a_claimed_request_does_not_run_after_its_deadline() {
     let mut ledger = Ledger::default();
-    ledger.ask(claim(1, 1, "filing"), DEADLINE);
-    ledger.group();
+    ledger.request(claim(1, 1, "key"), DEADLINE);
+    ledger.next_batch();
 
     let settled = ledger.written(DEADLINE.after(1), &[Outcome::Ours]);
 
     assert_eq!(settled, [Settled::NotRun(Id(1))]);
 }
 
-/// A caller sends its filing again; the second request with the key finds the first one's claim
-/// and must be told that the filing may have run.
+/// Guards against a repeated request that runs again or is reported as not run although the first
+/// one with the same key may have run.
 #[test]
 fn a_key_claimed_before_is_not_run_again() {
     let mut ledger = Ledger::default();
-    ledger.ask(claim(1, 1, "filing"), DEADLINE);
-    ledger.group();
+    ledger.request(claim(1, 1, "key"), DEADLINE);
+    ledger.next_batch();
 
     let settled = ledger.written(Time::ZERO, &[Outcome::Theirs]);
 
@@ -124,24 +125,25 @@
 }
 
 #[test]
-fn one_group_is_in_flight_at_a_time() {
+fn one_batch_is_in_flight_at_a_time() {
     let mut ledger = Ledger::default();
-    ledger.ask(claim(1, 1, "one"), DEADLINE);
-    assert!(ledger.group().is_some());
-    ledger.ask(claim(1, 2, "two"), DEADLINE);
+    ledger.request(claim(1, 1, "one"), DEADLINE);
+    assert!(ledger.next_batch().is_some());
+    ledger.request(claim(1, 2, "two"), DEADLINE);
 
-    assert_eq!(ledger.group(), None);
+    assert_eq!(ledger.next_batch(), None);
     ledger.written(Time::ZERO, &[Outcome::Ours]);
-    assert_eq!(ledger.group().map(|group| group.len()), Some(1));
+    assert_eq!(ledger.next_batch().map(|batch| batch.len()), Some(1));
 }
 
-/// A caller went away while its claim was in flight; its request must not start any more.
+/// Guards against a request that starts although its caller cancelled it while its claim was in
+/// flight.
 #[test]
-fn a_request_given_up_during_its_claim_does_not_run() {
+fn a_request_cancelled_during_its_claim_does_not_run() {
     let mut ledger = Ledger::default();
-    ledger.ask(claim(1, 1, "filing"), DEADLINE);
-    ledger.group();
-    ledger.forget(Id(1));
+    ledger.request(claim(1, 1, "key"), DEADLINE);
+    ledger.next_batch();
+    ledger.cancel(Id(1));
 
     assert_eq!(ledger.written(Time::ZERO, &[Outcome::Ours]), []);
 }
--- a/crates/nutmegkeel_store/tests/document.rs
+++ b/crates/nutmegkeel_store/tests/document.rs
@@ -1,9 +1,9 @@
-//! A key that one process writes again and again.
+//! A key that one process overwrites repeatedly.
 
 use nutmegkeel_core::clock::Time;
 use nutmegkeel_fake::store::{Fate, Leased};
 use nutmegkeel_store::document::Document;
-use nutmegkeel_store::kv::{Kept, Store};
+use nutmegkeel_store::kv::{Renewal, Store};
 
 const KEY: &str = "flows/10.0.0.1";
 
@@ -31,10 +31,10 @@
     assert_eq!(read, Ok(Some(b"two".to_vec())));
 }
 
-/// A host comes back before its predecessor's list was read: the store was away. Its own lists must
-/// get through all the same.
+/// Guards against a host whose lists are never written: it restarts while the store is unavailable,
+/// so it has not read the list of its predecessor.
 #[test]
-fn a_document_that_was_never_read_is_written_over() {
+fn a_document_that_was_never_read_is_overwritten() {
     let store = Leased::open(Vec::new());
     document().write(&store, at(0), b"old").expect("the store answers");
 
@@ -43,8 +43,8 @@
     assert_eq!(value(&store), Some(b"new".to_vec()));
 }
 
-/// The answer to a write was lost, though it took effect. The next write meets a revision that it does
-/// not know.
+/// Guards against writes that fail forever after a lost answer: that write took effect, so the key
+/// has a revision that the document does not know.
 #[test]
 fn a_lost_answer_does_not_stop_later_writes() {
     let store = Leased::open(Vec::new());
@@ -60,14 +60,14 @@
     assert_eq!(value(&store), Some(b"three".to_vec()));
 }
 
-/// Every agent costs the store a lease, those too that have nothing to note.
+/// Guards against leases for agents that have nothing to store.
 #[test]
 fn a_document_that_was_never_written_takes_no_lease() {
     let store = Leased::open(Vec::new());
 
-    let kept = document().keep(&store, at(50_000));
+    let renewed = document().renew(&store, at(50_000));
 
-    assert_eq!(kept, Ok(()));
+    assert_eq!(renewed, Ok(()));
     assert_eq!(store.grants(), 0);
 }
 
@@ -76,10 +76,10 @@
     let store = Leased::open(Vec::new());
     let mut document = document();
     document.write(&store, at(0), b"one").expect("the store answers");
-    store.set_kept(Kept::Ended);
+    store.set_kept(Renewal::Ended);
 
-    let kept = document.keep(&store, at(50_000));
+    let renewed = document.renew(&store, at(50_000));
 
-    assert_eq!(kept, Ok(()));
+    assert_eq!(renewed, Ok(()));
     assert_eq!(store.grants(), 2);
 }
--- a/crates/nutmegkeel_wire/src/reset.rs
+++ b/crates/nutmegkeel_wire/src/reset.rs
@@ -1,7 +1,7 @@
-//! Stateless resets (RFC 9000, section 10.3): the immediate end of a flow whose agent is gone.
+//! Stateless resets (RFC 9000, section 10.3), which end a flow whose agent is gone.
 //!
-//! The token is derived from the connection ID and the shared key alone, so that any balancer can
-//! end a flow whose agent no longer can.
+//! The token is derived only from the connection ID and the shared key, so that any balancer can
+//! send the reset in place of the agent.
 
 use quinn_proto::crypto::{CryptoError, HmacKey};
 use ring::hmac;
@@ -10,10 +10,11 @@
 
 /// Length of a reset token in bytes.
 const TOKEN: usize = 16;
-/// Least length of a reset that cannot be told from a short packet with a connection ID.
-const LEAST: usize = 5 + TOKEN;
-/// Preferred length.
-const USUAL: usize = 43;
+/// Minimum length of a reset in bytes. A shorter one could be distinguished from a packet with a
+/// short header and a connection ID.
+const MIN_LENGTH: usize = 5 + TOKEN;
+/// Length of a reset in bytes, if the packet that it answers is long enough.
+const PREFERRED_LENGTH: usize = 43;
 
 /// Signs reset tokens for the QUIC library with the key that a connection ID names.
 #[derive(Debug, Clone)]
@@ -22,15 +23,15 @@
 }
 
 impl Signer {
-    /// A signer over the accepted keys.
+    /// Creates a signer with the accepted keys.
     #[must_use]
     pub const fn open(ring: Ring) -> Self {
         Self { ring }
     }
 
     fn key_for(&self, data: &[u8]) -> &hmac::Key {
-        let named = data.first().and_then(|index| self.ring.get(Index(*index)));
-        &named.unwrap_or_else(|| self.ring.used().1).reset
+        let key = data.first().and_then(|index| self.ring.get(Index(*index)));
+        &key.unwrap_or_else(|| self.ring.used().1).reset
     }
 }
 
@@ -48,20 +49,22 @@
     }
 }
 
-/// The reset that ends the flow of `cid`, in answer to a packet of `provoked_by` bytes; none when
-/// that packet was too short. A reset is shorter than its cause, so two ends never reset each
-/// other for ever.
+/// Returns the reset that ends the flow of `cid`, in answer to a packet of `trigger_length` bytes,
+/// or `None` if that packet is too short.
+///
+/// A reset is shorter than the packet that it answers, so that two endpoints cannot answer each
+/// other's resets in an endless loop.
 #[must_use]
-pub fn packet(ring: &Ring, cid: &[u8], provoked_by: usize, noise: u64) -> Option<Vec<u8>> {
-    let length = USUAL.min(provoked_by.checked_sub(1)?);
-    if length < LEAST {
+pub fn packet(ring: &Ring, cid: &[u8], trigger_length: usize, seed: u64) -> Option<Vec<u8>> {
+    let length = PREFERRED_LENGTH.min(trigger_length.checked_sub(1)?);
+    if length < MIN_LENGTH {
         return None;
     }
     let signer = Signer::open(ring.clone());
     let token = hmac::sign(signer.key_for(cid), cid);
     let mut packet = Vec::with_capacity(length);
     let mut filler = blake3::Hasher::new_keyed(&ring.used().1.frame);
-    filler.update(&noise.to_be_bytes());
+    filler.update(&seed.to_be_bytes());
     packet.resize(length - TOKEN, 0);
     filler.finalize_xof().fill(&mut packet);
     packet[0] = 0b0100_0000 | (packet[0] & 0b0011_1111);
--- a/crates/nutmegkeel_wire/tests/frame.rs
+++ b/crates/nutmegkeel_wire/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames and connection IDs that are forged, damaged, late or meant for another class.
+//! Frames, connection IDs and resets, including forged, malformed, replayed and misdirected ones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use nutmegkeel_core::member::Instance;
 use nutmegkeel_core::placement::Hop;
 use nutmegkeel_wire::cid;
-use nutmegkeel_wire::frame::{self, Fault, Header, Outbound, STALE_MS};
+use nutmegkeel_wire::frame::{self, Fault, Header, MAX_SKEW_MS, Outbound};
 use nutmegkeel_wire::key::Ring;
 use nutmegkeel_wire::packet;
 use nutmegkeel_wire::reset;
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_frame_survives_the_way() {
+fn a_frame_is_decoded_unchanged() {
     let bytes = encoded(b"the packet");
 
     let frame = frame::decode(&old_ring(), NOW, &bytes).expect("the frame is whole");
@@ -82,15 +82,16 @@
 }
 
 #[test]
-fn a_frame_recorded_and_sent_again_later_is_refused() {
+fn a_replayed_frame_is_refused() {
     let bytes = encoded(b"the packet");
 
-    let late = frame::decode(&old_ring(), NOW.after(STALE_MS + 1), &bytes);
+    let late = frame::decode(&old_ring(), NOW.after(MAX_SKEW_MS + 1), &bytes);
 
-    assert_eq!(late, Err(Fault::Stale(STALE_MS + 1)));
+    assert_eq!(late, Err(Fault::Stale(MAX_SKEW_MS + 1)));
 }
 
-/// Every flow breaks when the key is rotated. Old and new key are accepted while only one is used.
+/// Guards against flows that break during a key rotation: the old and the new key must be accepted
+/// while only one is used for sending.
 #[test]
 fn a_rotation_refuses_no_frame_and_no_connection_id() {
     let both = ring(&[(1, 'a'), (2, 'b')], 2);
@@ -103,10 +104,10 @@
     assert_eq!(cid::decode(&only_new, class, &id), Err(cid::Fault::Key(1)));
 }
 
-/// A packet for the records intake desk reaches the records vault: its connection ID was issued
-/// for one class and presented at the address of another.
+/// Guards against packets that reach a backend server of another class: a connection ID issued for
+/// one class is used at the address of another.
 #[test]
-fn a_connection_id_of_another_class_names_no_agent() {
+fn a_connection_id_of_another_class_is_refused() {
     let id = cid::encode(&old_ring(), class::Id::of("intake"), hop(), 5).expect("fits");
 
     let elsewhere = cid::decode(&old_ring(), class::Id::of("vault"), &id);
@@ -126,18 +127,18 @@
 }
 
 #[test]
-fn a_reset_is_shorter_than_what_provoked_it() {
+fn a_reset_is_shorter_than_the_packet_that_it_answers() {
     let id = cid::encode(&old_ring(), class::Id::of("intake"), hop(), 5).expect("fits");
 
-    for provoked_by in 0..100 {
-        if let Some(packet) = reset::packet(&old_ring(), &id, provoked_by, 1) {
-            assert!(packet.len() < provoked_by);
+    for trigger_length in 0..100 {
+        if let Some(packet) = reset::packet(&old_ring(), &id, trigger_length, 1) {
+            assert!(packet.len() < trigger_length);
         }
     }
     assert!(reset::packet(&old_ring(), &id, 22, 1).is_some());
 }
 
-/// Random bytes from anywhere must be refused without a panic.
+/// Checks that random bytes are refused without a panic.
 fn refused(bytes: Vec<u8>) -> bool {
     let class = class::Id::of("intake");
     let mut framed = vec![1, 1];
--- a/crates/nutmegkeel_wire/tests/l4.rs
+++ b/crates/nutmegkeel_wire/tests/l4.rs
@@ -1,4 +1,4 @@
-//! Datagrams between balancers and agents.
+//! Encoding of datagrams between balancers and agents.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -11,7 +11,7 @@
 use nutmegkeel_core::l4::route::Service;
 use nutmegkeel_core::l4::server::Incarnation;
 use nutmegkeel_core::revision::{Era, Revision};
-use nutmegkeel_wire::l4::{Fault, LONGEST, decode, encode};
+use nutmegkeel_wire::l4::{Fault, MAX_DATAGRAM, decode, encode};
 use quickcheck::QuickCheck;
 
 fn declined() -> Message {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_message_and_the_packet_behind_it_come_back() {
+fn a_message_and_the_packet_after_it_are_decoded_unchanged() {
     let mut datagram = Vec::new();
 
     encode(&declined(), b"packet", &mut datagram);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn another_version_is_not_understood() {
+fn another_version_is_refused() {
     let mut datagram = Vec::new();
     encode(&declined(), b"", &mut datagram);
     datagram[0] += 1;
@@ -38,31 +38,31 @@
 }
 
 #[test]
-fn no_bytes_end_the_process() {
-    fn holds(bytes: Vec<u8>) -> bool {
+fn random_bytes_do_not_cause_a_panic() {
+    fn decodes_without_panic(bytes: Vec<u8>) -> bool {
         let _ = decode(&bytes);
         let _ = decode(&[&version(), bytes.as_slice()].concat());
         true
     }
-    QuickCheck::new().tests(5_000).quickcheck(holds as fn(Vec<u8>) -> bool);
+    QuickCheck::new().tests(5_000).quickcheck(decodes_without_panic as fn(Vec<u8>) -> bool);
 }
 
-/// The first byte of every datagram.
+/// Returns the version byte of a datagram.
 fn version() -> [u8; 1] {
     let mut datagram = Vec::new();
     encode(&declined(), b"", &mut datagram);
     [datagram[0]]
 }
 
-/// Orders for so many failure domains.
+/// Returns orders to evacuate this number of failure domains.
 fn evacuated(domains: u8) -> Orders {
     let name = |number| format!("a-failure-domain-with-long-name-{number}").into();
     let revision = Revision { era: Era(1_000), number: u64::MAX >> 20 };
     Orders { revision, domains: (0..domains).map(name).collect() }
 }
 
-/// Lists of open flows, addresses, and the agents of a whole failure domain, vanish on their way: the reader's buffer
-/// is shorter than the datagram.
+/// Guards against lists of flows, summaries and rosters that are lost because their datagram is
+/// longer than the buffer of the receiver.
 #[test]
 fn the_longest_messages_fit_into_a_datagram() {
     let end = |number: u16| SocketAddrV4::new(Ipv4Addr::new(203, 0, 113, 200), 60_000 + number);
@@ -107,6 +107,6 @@
         let mut datagram = Vec::new();
         encode(&message, b"", &mut datagram);
 
-        assert!(datagram.len() <= LONGEST, "{} bytes", datagram.len());
+        assert!(datagram.len() <= MAX_DATAGRAM, "{} bytes", datagram.len());
     }
 }
