--- a/crates/nutmegkeel_core/src/membership/suspicion.rs
+++ b/crates/nutmegkeel_core/src/membership/suspicion.rs
@@ -109,8 +109,8 @@
         self.beliefs.suspects().any(|belief| small || belief.failed_at.is_some())
     }
 
-    /// Returns the outcomes of the probes that were sent since `since` and have timed out or could
-    /// have.
+    /// Returns the outcomes of the probes that were sent since `since` and so long ago that each
+    /// has been answered or has timed out.
     ///
     /// Answers arrive at once and missing ones show only after the timeout. Counting later probes
     /// would make the connection of a process that was just isolated look healthy.
--- a/crates/nutmegkeel_core/src/placement.rs
+++ b/crates/nutmegkeel_core/src/placement.rs
@@ -48,18 +48,18 @@
 pub struct Hop {
     /// Address for frames.
     pub address: SocketAddr,
-    /// The run that must take it.
+    /// The instance that must accept it.
     pub instance: Instance,
 }
 
-/// The choice for one new flow.
+/// Placement of one new flow.
 ///
-/// Guards against a flow that is opened twice. A caller that has no answer yet sends two copies of
-/// its opening at once, the fabric hands them to two balancers, and one of these knows other loads,
-/// as one does that has just started. Were the copies sent to two agents, both would answer, and
-/// the caller would take the packets of the one for the other's and end the flow with a protocol
-/// error. So load never changes where an opening is sent, only what the first agent is asked to do
-/// with it: that agent sees all copies and sends them one way.
+/// Guards against a flow that is opened at two agents. A caller without an answer may send two
+/// copies of its opening at once, and the fabric delivers them to two balancers with different load
+/// reports, for instance because one has just started. If the copies reached two agents, both would
+/// answer, and the caller would end the flow with a protocol error. Load therefore never changes to
+/// which agent an opening is sent, only whether that agent is asked to pass it on. That agent
+/// receives all copies and decides for all of them alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Choice {
     /// The agent that gets the packet.
--- a/crates/nutmegkeel_store/src/kv.rs
+++ b/crates/nutmegkeel_store/src/kv.rs
@@ -213,8 +213,9 @@
 
 /// Replaces the value of a key and returns the revision of the write.
 ///
-/// The write is conditional on the revision read just before it, so that a write that takes effect
-/// late does not replace a newer one.
+/// The write keeps its condition. If that does not hold, it is repeated once under the condition
+/// that the key is unchanged since a new read. A write without a condition could take effect late
+/// and replace a newer one.
 ///
 /// # Errors
 /// If the service does not answer, or if another process changes the key at the same time.
