--- a/crates/nutmegkeel/src/arguments.rs
+++ b/crates/nutmegkeel/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parser of the command line.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use crate::explain::Query;
 use crate::operator::{Access, Change};
 
-/// What the user asked for.
+/// Command or query that the user requested.
 #[derive(Clone, Debug)]
 pub(crate) enum Command {
     /// Run a balancer.
@@ -20,11 +20,11 @@
     PlatformBalancer(Policy),
     /// Run an agent on the users' platform.
     PlatformAgent(Policy),
-    /// Query: what a balancer on the users' platform knows, as text or JSON.
+    /// Query: the state of a balancer on the users' platform, as text or JSON.
     PlatformStatus(SocketAddr, bool),
     /// Check the settings file that the platform wrote.
     CheckPlatformSettings,
-    /// Query: what became of a flow, or why flows were refused, from log lines.
+    /// Query: the history of a flow, or the refusals of flows by cause, from log lines.
     Explain(Query),
     /// Check a settings file.
     CheckSettings(PathBuf),
@@ -36,11 +36,11 @@
     SetClass(Access, Change),
     /// Query: all processes, or those of one class, as text or JSON.
     Status(Access, Option<String>, bool),
-    /// Command: ask a process to leave.
+    /// Command: drain a process.
     Drain(Access, SocketAddr),
 }
 
-/// Parses the command line; prints help or the fault and exits when there is nothing to run.
+/// Parses the command line. Prints help or an error and exits if there is no command to run.
 pub(crate) fn parse() -> Command {
     let commands = bpaf::construct!([
         balancer(),
@@ -83,7 +83,7 @@
     settings_file()
         .map(Command::Agent)
         .to_options()
-        .descr("Run the agent beside a backend server")
+        .descr("Run the agent on the host of a backend server")
         .footer("Example: nutmegkeel agent --settings /run/nutmegkeel/agent.json")
         .command("agent")
 }
@@ -99,9 +99,7 @@
 
 fn policy() -> impl Parser<Policy> {
     bpaf::long("without")
-        .help(
-            "Switch a mechanism off, for a measurement or in an emergency; may be given repeatedly",
-        )
+        .help("Switch a mechanism off, to measure its effect or in an emergency; may be repeated")
         .argument::<Mechanism>("NAME")
         .many()
         .map(Policy::without)
@@ -116,7 +114,7 @@
     let agent = policy()
         .map(Command::PlatformAgent)
         .to_options()
-        .descr("Run the agent of such flows beside a backend server")
+        .descr("Run the agent for flows without a routing token, on the host of a backend server")
         .command("agent");
     let check_settings = bpaf::pure(Command::CheckPlatformSettings)
         .to_options()
@@ -128,7 +126,7 @@
     let json = bpaf::long("json").help("Print JSON").switch();
     let status = bpaf::construct!(Command::PlatformStatus(at, json))
         .to_options()
-        .descr("Show what a balancer knows: configuration, evacuated failure domains, agents")
+        .descr("Show the state of a balancer: configuration, evacuated failure domains, agents")
         .footer("Example: nutmegkeel platform status --at 10.1.0.10:7720")
         .command("status");
     bpaf::construct!([balancer, agent, check_settings, status])
@@ -147,7 +145,7 @@
     bpaf::construct!(Query { flow, files })
         .map(Command::Explain)
         .to_options()
-        .descr("Tell what became of a flow, or count refusals by cause, from log lines")
+        .descr("Show the history of a flow, or count refusals by cause, from log lines")
         .footer("Example: nutmegkeel explain --flow '100.64.0.7:40001>198.18.0.1:443' *.log")
         .command("explain")
 }
@@ -183,7 +181,7 @@
     let change = change();
     bpaf::construct!(Command::SetClass(access, change))
         .to_options()
-        .descr("Change the targets of a class, or make a class; what is left out stays")
+        .descr("Change the targets of a class, or create a class; targets that are left out stay")
         .footer(
             "Example: nutmegkeel class set --at 10.0.0.1:7002 --token-file token \
              --leave-within-ms 1500 intake",
@@ -197,11 +195,11 @@
         .argument("PERCENT")
         .optional();
     let leave_within_ms = bpaf::long("leave-within-ms")
-        .help("A leaving backend server stops taking calls within, 500 to 60000")
+        .help("Time within which a leaving backend server stops accepting calls, 500 to 60000")
         .argument("MS")
         .optional();
     let settle_within_ms = bpaf::long("settle-within-ms")
-        .help("A change is in force everywhere within, 1000 to 60000")
+        .help("Time within which a change is in force everywhere, 1000 to 60000")
         .argument("MS")
         .optional();
     let deadline_ms = bpaf::long("deadline-ms")
@@ -239,7 +237,7 @@
     let address = bpaf::positional("ADDRESS").help("Address for frames, as `status` shows it");
     bpaf::construct!(Command::Drain(access, address))
         .to_options()
-        .descr("Ask a process to leave: no new flows, open ones finish, then it ends")
+        .descr("Drain a process: it gets no new flows, finishes open ones and exits")
         .footer("Example: nutmegkeel drain --at 10.0.0.1:7002 --token-file token 10.0.3.7:7000")
         .command("drain")
 }
--- a/crates/nutmegkeel/src/explain.rs
+++ b/crates/nutmegkeel/src/explain.rs
@@ -1,5 +1,5 @@
-//! Reads the log lines of several processes: the story of one flow in order of time, or the refusals
-//! of all flows by cause.
+//! Reads the log lines of several processes and prints the history of one flow in order of time, or
+//! counts the refusals of all flows by cause.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -8,14 +8,14 @@
 
 use serde::Deserialize;
 
-/// What the user wants to know, and from which files.
+/// Flow to explain, or all flows, and the files to read.
 #[derive(Clone, Debug)]
 pub(crate) struct Query {
     pub(crate) flow: Option<String>,
     pub(crate) files: Vec<PathBuf>,
 }
 
-/// One line. What other programs print between them is passed over.
+/// Fields of a log line that are used here.
 #[derive(Debug, Deserialize)]
 struct Line {
     time: String,
@@ -27,16 +27,16 @@
     attributes: BTreeMap<String, String>,
 }
 
-/// Why flows were refused, kept waiting or reset: the event, its cause and the host that decided.
+/// Refusal of flows: the event, its cause and the host that decided.
 type Cause = (String, String, String);
 
-/// Events that count as a refusal.
+/// Events that are counted as refusals.
 const REFUSALS: [&str; 3] = ["reset", "kept", "declined"];
 
-/// Prints the story of a flow, or the refusals by cause.
+/// Prints the history of a flow, or the number of refusals by cause.
 ///
 /// # Errors
-/// When a file cannot be read, or the output is closed.
+/// Returns an error if a file cannot be read or the output is closed.
 pub(crate) fn run(query: &Query) -> io::Result<()> {
     let lines = read(&query.files)?;
     let output = &mut io::stdout().lock();
@@ -60,8 +60,8 @@
     Ok(lines)
 }
 
-/// Lines that are cut or are none of ours are passed over: a process that was killed may have
-/// written half a line, and other programs write to the same place.
+/// Parses log lines. Truncated and foreign lines are skipped: a killed process may have written part
+/// of a line, and other programs may write to the same output.
 fn parse(mut reader: impl BufRead) -> Vec<Line> {
     let mut lines = Vec::new();
     let mut bytes = Vec::new();
--- a/crates/nutmegkeel/src/logging.rs
+++ b/crates/nutmegkeel/src/logging.rs
@@ -4,17 +4,17 @@
 use log4rs::config::{Appender, Config, Root};
 use nutmegkeel_node::output::Output;
 
-/// Name of the one appender.
+/// Name of the only appender.
 const APPENDER: &str = "stdout";
 
-/// Starts logging; a process that cannot log still serves, and says so.
+/// Starts logging. A process that cannot log reports the error on standard error and serves anyway.
 pub(crate) fn start() {
     if let Err(error) = try_start() {
         eprintln!("logging did not start: {error}");
     }
 }
 
-/// Waits a moment for the last lines.
+/// Flushes pending log lines; waits only for a limited time.
 pub(crate) fn finish() {
     log::logger().flush();
 }
--- a/crates/nutmegkeel/src/main.rs
+++ b/crates/nutmegkeel/src/main.rs
@@ -1,4 +1,4 @@
-//! The one binary: balancer, agent, and the operator's commands and queries.
+//! Binary that runs a balancer or an agent, and the commands and queries of operators.
 
 mod arguments;
 mod explain;
--- a/crates/nutmegkeel/src/operator.rs
+++ b/crates/nutmegkeel/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's commands and queries, over the administration API of a balancer.
+//! Commands and queries of operators, over the administration API of a balancer.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
 use serde::de::DeserializeOwned;
 use tokio::runtime::Runtime;
 
-/// Where the API is and what opens it.
+/// Address and credentials of the administration API.
 #[derive(Clone, Debug)]
 pub(crate) struct Access {
     /// Address of the administration API of any balancer.
@@ -25,7 +25,7 @@
     pub(crate) token_file: PathBuf,
 }
 
-/// A change of a class as the command line states it: what is left out stays as it is.
+/// Change of a class as given on the command line; values that are left out stay.
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
     pub(crate) name: String,
@@ -36,7 +36,7 @@
     pub(crate) id: Option<String>,
 }
 
-/// Why a command or query did not succeed.
+/// Error of a command or query.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Fault {
     /// The token cannot be read.
@@ -44,46 +44,46 @@
     Token {
         /// The file.
         file: PathBuf,
-        /// What the machine said.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// The token holds characters that no header may carry.
+    /// The token holds characters that are not valid in a header.
     #[error("token file {}: holds more than one line of plain text", .0.display())]
     TokenText(PathBuf),
-    /// The client could not be made.
+    /// The client could not be created.
     #[error("{0}")]
     Client(String),
-    /// The balancer was not asked, or refused to answer.
+    /// The balancer was not reached or refused the request; nothing was changed.
     #[error("balancer at {0}: {1}; nothing was changed, another balancer may answer")]
     Refused(SocketAddr, String),
-    /// The balancer was asked and did not answer.
+    /// A command was sent and got no answer, so that it may have taken effect.
     #[error("balancer at {0}: {1}; repeat with --id {2} to learn how it ended")]
     Unanswered(SocketAddr, String, String),
-    /// There is no such class in what the balancer knows, which is all that it has heard of.
+    /// The balancer has the current configuration, and there is no such class in it.
     #[error("balancer at {at}: there is no class `{name}` at revision {}; `nutmegkeel class list` shows them", revision.0)]
     NoClass {
         /// The balancer.
         at: SocketAddr,
         /// The class.
         name: String,
-        /// The newest revision that the balancer has heard of.
+        /// Latest revision that the balancer knows of.
         revision: Revision,
     },
-    /// The balancer cannot tell which classes there are.
+    /// The balancer does not have the current configuration, so that it cannot rule the class out.
     #[error("balancer at {0}: it does not know the classes yet; ask again, or another balancer")]
     NotYetKnown(SocketAddr),
-    /// The command ended without effect, or may have taken effect.
+    /// The command was answered, but had no effect or may have had one.
     #[error("{}: {}", .0.verdict.as_str(), .0.message)]
     Ended(Outcome),
 }
 
 impl Fault {
-    /// Whether the balancer lacks the class that was asked for.
+    /// Returns whether the requested class is unknown to the balancer.
     pub(crate) const fn is_unknown(&self) -> bool {
         matches!(self, Self::NoClass { .. } | Self::NotYetKnown(_))
     }
 
-    /// Whether the command may have taken effect.
+    /// Returns whether the command has not run or may have run.
     pub(crate) const fn verdict(&self) -> Verdict {
         match self {
             Self::Unanswered(..) => Verdict::MayHaveRun,
@@ -120,8 +120,9 @@
         answer.map_err(|error: ClientError| Fault::Refused(self.at, error.to_string()))
     }
 
-    /// How much the balancer knows of the configuration, and its revision. It is asked before the
-    /// classes: what comes in between can only add a class, not hide that one was not known.
+    /// Returns how current the configuration of the balancer is, and its revision. Must be queried
+    /// before the classes: a change between the two queries can then only add a class, and never makes
+    /// a list that was incomplete look complete.
     fn standing(&self) -> Result<(Standing, Revision), Fault> {
         let status: Status = self.query(api::STATUS)?;
         Ok((status.standing, status.revision))
@@ -136,7 +137,8 @@
         }
     }
 
-    /// A refusal by the balancer changed nothing; any other failure may have come after the change.
+    /// Converts a client error. A refusal by the balancer changed nothing; any other failure may have
+    /// occurred after the change.
     fn unanswered(&self, error: &ClientError, id: &str) -> Fault {
         match error {
             ClientError::Call(refusal) => Fault::Refused(self.at, refusal.message().to_owned()),
@@ -154,7 +156,7 @@
     Ok(value)
 }
 
-/// Lists the classes in force at the balancer.
+/// Prints the classes in force at the balancer.
 pub(crate) fn list_classes(access: &Access) -> Result<(), Fault> {
     let client = Client::open(access)?;
     let (standing, _) = client.standing()?;
@@ -199,7 +201,7 @@
     Ok(())
 }
 
-/// Changes a class, or makes it, on the condition that nobody else changed it meanwhile.
+/// Changes or creates a class, on the condition that no other change came between read and write.
 pub(crate) fn set_class(access: &Access, change: Change) -> Result<(), Fault> {
     let client = Client::open(access)?;
     let classes: Vec<Class> = client.query(api::CLASSES)?;
@@ -235,7 +237,7 @@
     }
 }
 
-/// Asks a process to leave.
+/// Drains a process.
 pub(crate) fn drain(access: &Access, address: SocketAddr) -> Result<(), Fault> {
     let client = Client::open(access)?;
     let outcome = client.command(api::DRAIN, rpc_params![address], "drain")?;
@@ -243,7 +245,7 @@
     Ok(())
 }
 
-/// Prints what the balancer knows of all processes.
+/// Prints the state of all processes as the balancer knows it.
 pub(crate) fn status(access: &Access, class: Option<&str>, json: bool) -> Result<(), Fault> {
     let mut status: Status = Client::open(access)?.query(api::STATUS)?;
     if let Some(class) = class {
@@ -268,7 +270,7 @@
     Ok(())
 }
 
-/// Says on how many balancers the newest revision is in force.
+/// Prints on how many balancers the latest revision is in force.
 fn print_revisions(status: &Status) {
     let balancers: Vec<&Process> = status
         .processes
--- a/crates/nutmegkeel/src/platform.rs
+++ b/crates/nutmegkeel/src/platform.rs
@@ -1,4 +1,4 @@
-//! What a balancer on the users' platform tells operators of itself.
+//! Status of a balancer on the users' platform, for operators.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -7,24 +7,25 @@
 use nutmegkeel_core::l4::status::{Room, Status};
 use nutmegkeel_node::l4::balancer::STATUS;
 
-/// A balancer answers within milliseconds; an operator who waits longer asks another one.
+/// Timeout of the query. A balancer answers within milliseconds; after 2 s it is better to query another
+/// one.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a balancer's status cannot be shown.
+/// Error of a status query.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Fault {
-    /// It was not reached, or did not answer.
+    /// The balancer was not reached or did not answer.
     #[error("balancer at {0}: {1}; another balancer may answer")]
     Silent(SocketAddr, String),
-    /// It answered something else.
+    /// The answer cannot be decoded.
     #[error("balancer at {0}: answer not understood: {1}")]
     Body(SocketAddr, String),
 }
 
-/// Prints what a balancer knows.
+/// Prints the status of a balancer.
 ///
 /// # Errors
-/// When it does not answer.
+/// Returns a fault if the balancer does not answer, or the answer cannot be decoded.
 pub(crate) fn status(at: SocketAddr, json: bool) -> Result<(), Fault> {
     let config = ureq::Agent::config_builder().timeout_global(Some(TIMEOUT)).build();
     let silent = |error: ureq::Error| Fault::Silent(at, error.to_string());
@@ -45,7 +46,7 @@
     let word = |yes, word, otherwise| if yes { word } else { otherwise };
     let mut text = String::new();
     let mut line = |name: &str, value: &str| {
-        // Writing into a string has no way to fail.
+        // Writing into a string cannot fail.
         let _ = writeln!(text, "{name:<14} {value}");
     };
     line("balancer", &format!("{} in {}", status.address, status.domain));
@@ -68,7 +69,8 @@
     text
 }
 
-/// The room of a service in a failure domain; the service by the first route that names it.
+/// Describes the room of a service in a failure domain. The service is shown as the first route that
+/// names it.
 fn room(room: &Room) -> String {
     let service =
         room.route.as_deref().map_or_else(|| format!("{:016x}", room.service), str::to_owned);
--- a/crates/nutmegkeel/src/run.rs
+++ b/crates/nutmegkeel/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a role until it is told to stop.
+//! Runs a role until a signal stops it, and the checks of settings files.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -16,25 +16,25 @@
 
 use crate::{logging, operator, platform};
 
-/// Time between two looks at the signals.
+/// Interval at which the signals are checked.
 const WAKE: Duration = Duration::from_millis(50);
 
 /// Exit code for wrong usage: arguments or settings.
 const USAGE: u8 = 2;
-/// Exit code for what was refused or failed before it had any effect.
+/// Exit code for a command that was refused or failed before it had any effect.
 const NOT_RUN: u8 = 3;
 /// Exit code for a command that may have taken effect.
 const MAY_HAVE_RUN: u8 = 4;
-/// Exit code for a query after a class that the balancer does not know, or not yet.
+/// Exit code for a query of a class that the balancer does not know, or not yet.
 const UNKNOWN: u8 = 5;
 
-/// Why a command did not succeed.
+/// Error of a command.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Fault {
     /// The settings are wrong.
     #[error(transparent)]
     Settings(#[from] Faults),
-    /// The settings are those of the other role.
+    /// The settings are those of another role.
     #[error("field `role`: these are the settings of another role")]
     Role,
     /// The balancer could not start.
@@ -55,7 +55,7 @@
     /// The metrics recorder could not be installed.
     #[error("metrics: {0}")]
     Metrics(#[from] metric::Fault),
-    /// A balancer on the platform could not be asked.
+    /// The status of a balancer on the platform could not be queried.
     #[error(transparent)]
     PlatformStatus(#[from] platform::Fault),
     /// An operator's command or query did not succeed.
@@ -161,7 +161,7 @@
     Ok(stop)
 }
 
-/// What signals asked for.
+/// Requests that arrived as signals.
 struct Signals {
     stop: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
