--- a/crates/nutmegkeel/src/explain.rs
+++ b/crates/nutmegkeel/src/explain.rs
@@ -60,8 +60,8 @@
     Ok(lines)
 }
 
-/// Parses log lines. Truncated and foreign lines are skipped: a killed process may have written part
-/// of a line, and other programs may write to the same output.
+/// Parses log lines. Truncated and foreign lines are skipped: a killed process may have written
+/// part of a line, and other programs may write to the same output.
 fn parse(mut reader: impl BufRead) -> Vec<Line> {
     let mut lines = Vec::new();
     let mut bytes = Vec::new();
--- a/crates/nutmegkeel/src/operator.rs
+++ b/crates/nutmegkeel/src/operator.rs
@@ -121,8 +121,8 @@
     }
 
     /// Returns how current the configuration of the balancer is, and its revision. Must be queried
-    /// before the classes: a change between the two queries can then only add a class, and never makes
-    /// a list that was incomplete look complete.
+    /// before the classes: a change between the two queries can then only add a class, and never
+    /// makes a list that was incomplete look complete.
     fn standing(&self) -> Result<(Standing, Revision), Fault> {
         let status: Status = self.query(api::STATUS)?;
         Ok((status.standing, status.revision))
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Converts a client error. A refusal by the balancer changed nothing; any other failure may have
-    /// occurred after the change.
+    /// Converts a client error. A refusal by the balancer changed nothing; any other failure may
+    /// have occurred after the change.
     fn unanswered(&self, error: &ClientError, id: &str) -> Fault {
         match error {
             ClientError::Call(refusal) => Fault::Refused(self.at, refusal.message().to_owned()),
--- a/crates/nutmegkeel/src/platform.rs
+++ b/crates/nutmegkeel/src/platform.rs
@@ -7,8 +7,8 @@
 use nutmegkeel_core::l4::status::{Room, Status};
 use nutmegkeel_node::l4::balancer::STATUS;
 
-/// Timeout of the query. A balancer answers within milliseconds; after 2 s it is better to query another
-/// one.
+/// Timeout of the query. A balancer answers within milliseconds; after 2 s it is better to query
+/// another one.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Error of a status query.
@@ -69,8 +69,8 @@
     text
 }
 
-/// Describes the room of a service in a failure domain. The service is shown as the first route that
-/// names it.
+/// Describes the room of a service in a failure domain. The service is shown as the first route
+/// that names it.
 fn room(room: &Room) -> String {
     let service =
         room.route.as_deref().map_or_else(|| format!("{:016x}", room.service), str::to_owned);
--- a/crates/nutmegkeel/tests/commands.rs
+++ b/crates/nutmegkeel/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The binary's exit codes and messages.
+//! Exit codes and messages of the binary.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::os::unix::fs::PermissionsExt;
@@ -6,10 +6,10 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// A balancer that starts answers its operator within this.
+/// Time within which a starting balancer accepts connections of operators.
 const STARTED_WITHIN: Duration = Duration::from_secs(10);
 
-/// Opens the administration API of the balancers here.
+/// Token of the administration API in these tests.
 const TOKEN: &str = "a token that is long enough";
 
 fn run(arguments: &[&str]) -> Output {
@@ -27,11 +27,11 @@
 
 fn directory(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("nutmegkeel-{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&path).expect("the directory can be made");
+    std::fs::create_dir_all(&path).expect("the directory can be created");
     path
 }
 
-/// Writes the settings of a balancer that has no peers and whose platform is away.
+/// Writes the settings of a balancer without peers, whose platform is unreachable.
 fn write_balancer(directory: &Path, frames: &str, administration: &str) -> PathBuf {
     let keys = directory.join("keys.json");
     let key = "ab".repeat(32);
@@ -47,7 +47,7 @@
     settings
 }
 
-/// A balancer that ends with the test.
+/// Balancer process that is killed when it is dropped.
 struct Running(Child);
 
 impl Drop for Running {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Starts a balancer and returns once its administration API takes connections.
+/// Starts a balancer and returns once its administration API accepts connections.
 fn start_balancer(directory: &Path, administration: SocketAddr) -> Running {
     let settings = write_balancer(directory, "127.0.0.1:0", &administration.to_string());
     let child = Command::new(env!("CARGO_BIN_EXE_nutmegkeel"))
@@ -100,11 +100,12 @@
     assert_eq!(output.status.code(), Some(3), "{}", said(&output));
 }
 
-/// An operator starts a balancer twice on one host; the second one must say which field to change.
+/// Guards against a bind error that does not name the field to change, for example when a second
+/// balancer is started on a host.
 #[test]
 fn a_port_in_use_is_named_with_its_field() {
     let taken = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
-    let address = taken.local_addr().expect("it is bound").to_string();
+    let address = taken.local_addr().expect("the socket is bound").to_string();
     let directory = directory("port");
     let settings = write_balancer(&directory, &address, "127.0.0.1:0");
 
@@ -116,14 +117,14 @@
     assert!(said(&output).contains(&expected), "{}", said(&output));
 }
 
-/// An operator starts a balancer while the platform is away and asks it for a class that is in force
-/// everywhere else. It has read nothing and heard of nobody, so it cannot know that there is no such
-/// class; an operator who is told so makes the class again, or believes that somebody removed it.
+/// Guards against a balancer that denies a class that exists: it started while the platform was
+/// unreachable and has neither a configuration nor peers. The operator would create the class
+/// again.
 #[test]
 fn a_balancer_that_knows_no_classes_yet_says_so() {
     let directory = directory("unknown");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let administration = listener.local_addr().expect("it is bound");
+    let administration = listener.local_addr().expect("the socket is bound");
     drop(listener);
     let token = directory.join("token");
     write_secret(&token, TOKEN);
--- a/crates/nutmegkeel/tests/explain.rs
+++ b/crates/nutmegkeel/tests/explain.rs
@@ -1,9 +1,9 @@
-//! From a flow's id to its cause, from log lines alone.
+//! `nutmegkeel explain`: the history of a flow and the refusals by cause, from log lines.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Lines of two processes, out of order, with a cut one and one of another program between them.
+/// Log lines out of order, with a line of another program and a truncated line.
 const LINES: &str = concat!(
     r#"{"time":"2026-01-01T00:00:02Z","message":"reset sent","mdc":{"host":"b1"},"#,
     r#""attributes":{"event":"reset","flow":"1.1.1.1:5>2.2.2.2:443","cause":"agent_dead"}}"#,
@@ -27,9 +27,9 @@
         .spawn()
         .expect("the binary starts");
     let mut input = child.stdin.take().expect("the input is piped");
-    input.write_all(LINES.as_bytes()).expect("the lines are taken");
+    input.write_all(LINES.as_bytes()).expect("the lines can be written");
     drop(input);
-    child.wait_with_output().expect("the binary ends")
+    child.wait_with_output().expect("the binary exits")
 }
 
 #[test]
--- a/crates/nutmegkeel/tests/platform.rs
+++ b/crates/nutmegkeel/tests/platform.rs
@@ -1,5 +1,5 @@
-//! The whole path on the users' platform: balancers and agents as separate processes, against
-//! stand-ins of the store, the backend servers and the clients.
+//! End-to-end tests on the users' platform: balancers and agents as separate processes, with
+//! stand-ins for the store, the backend servers and the clients.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpStream};
@@ -14,10 +14,10 @@
 
 const SOON: Duration = Duration::from_secs(3);
 const LATER: Duration = Duration::from_secs(8);
-/// Time within which a change must be in force, from the settings of the fleet.
+/// Time within which a change must be in force, from the settings of the processes.
 const IN_FORCE: Duration = Duration::from_millis(CONFIG_APPLY_MS);
 
-/// Each test has addresses and ports of its own, so that they may run at once.
+/// Starts a fleet. Each test passes its own `net`, so that tests can run concurrently.
 fn fleet(name: &str, net: u8, services: &[&'static str]) -> Fleet {
     let folder: PathBuf =
         std::env::temp_dir().join(format!("nutmegkeel-{name}-{}", std::process::id()));
@@ -39,7 +39,7 @@
     matches!(outcome, Outcome::Answered(id) if id.starts_with(service))
 }
 
-/// What the command line shows of a balancer.
+/// Returns the status of a balancer as the command line prints it.
 fn status(fleet: &Fleet, balancer: Ipv4Addr) -> String {
     let at = SocketAddrV4::new(balancer, fleet.ports.messages()).to_string();
     let output = Command::new(env!("CARGO_BIN_EXE_nutmegkeel"))
@@ -63,8 +63,8 @@
     }
 }
 
-/// A kitchen's feed stops on yesterday's menu because the balancer that carried it is replaced. Its
-/// packets reach another balancer, which has never seen the flow and must find its agent.
+/// Guards against a flow that stalls when its balancer is replaced: its packets reach another
+/// balancer, which has no state of the flow and must find its agent.
 #[test]
 fn a_flow_goes_on_when_its_balancer_stops() {
     let mut fleet = fleet("balancer-stops", 2, &["desk", "desk", "desk"]);
@@ -79,13 +79,13 @@
     let after = client.request(&mut open, &[second], SOON);
 
     assert!(served_by(&before, "desk"), "{before:?}");
-    assert_eq!(during, before, "the same backend server answers");
+    assert_eq!(during, before, "the flow moved to another backend server");
     assert_eq!(after, before);
-    assert!(ended, "a balancer that was told to stop ends within its grace");
+    assert!(ended, "a stopped balancer exits within its grace time");
 }
 
-/// A feed breaks off because the agent beside its backend server was killed and started again. The
-/// new process knows no flows; the server does, and must be asked.
+/// Guards against a flow that is reset when its agent is killed and restarted: the new process has
+/// no state of the flow and must query the backend server, which still holds it.
 #[test]
 fn a_flow_goes_on_when_its_agent_is_killed() {
     let mut fleet = fleet("agent-killed", 3, &["desk"]);
@@ -103,8 +103,8 @@
     assert_eq!(after, before);
 }
 
-/// Cooks wait for their own timeouts because a backend server lost their flows. Its agent sees their
-/// packets come back and tells them at once.
+/// Guards against clients that wait for their timeout after a backend server lost their flow: its
+/// agent receives the bounced packets and must send a reset at once.
 #[test]
 fn a_client_whose_flow_is_lost_is_told() {
     let fleet = fleet("flow-lost", 4, &["desk"]);
@@ -119,9 +119,9 @@
     assert_eq!(outcome, Outcome::Reset);
 }
 
-/// A feed hangs until its client's deadline after its host lost power: agent and server came back and
-/// know nothing of it, and the client sends nothing while it waits. The list of flows in the store
-/// tells the new agent whom to tell.
+/// Guards against a flow that hangs until its client's deadline after its host lost power: agent
+/// and server restart without state, and an idle client sends no packet that would be bounced. The
+/// new agent must send the reset from the list of flows in the store.
 #[test]
 fn a_client_of_a_host_that_lost_power_is_told_though_it_sends_nothing() {
     let mut fleet = fleet("power", 11, &["desk"]);
@@ -142,8 +142,9 @@
     assert_eq!(told, Outcome::Reset);
 }
 
-/// Feeds hang for as long as the store is away, although their servers live: every process of the system was
-/// killed meanwhile and started again, and none has a configuration. Openings have to wait for it.
+/// Guards against open flows that stall until the store is back, although their servers are alive:
+/// all processes were killed and restarted while it was down, and none has a configuration. Only
+/// new flows have to wait for it.
 #[test]
 fn a_flow_goes_on_when_everything_is_killed_while_the_store_is_down() {
     let mut fleet = fleet("all-killed", 13, &["desk", "desk", "vault"]);
@@ -173,8 +174,9 @@
     assert_eq!(opened, Ok(()));
 }
 
-/// New flows find no server for as long as the store is away, although all servers are idle: every balancer
-/// was killed meanwhile, and none that starts again has a route. Agents hold copies of the configuration.
+/// Guards against new flows that find no server until the store is back: all balancers were killed
+/// and restarted while it was down, and have no routes. They must fetch the replicas of the
+/// configuration that agents hold.
 #[test]
 fn new_flows_open_when_all_balancers_are_killed_while_the_store_is_down() {
     let mut fleet = fleet("replicas", 16, &["desk", "vault"]);
@@ -206,9 +208,9 @@
     assert_eq!(outcomes, [Ok(true), Ok(true)]);
 }
 
-/// A backend server crashed and started again under its old id, with its counts from the start. A client
-/// that listens is told at once, and new flows go to the new start: taken for late, its heartbeats would
-/// be refused until their count passes the old one.
+/// Guards against a restarted server that is not recognized because it keeps its id and counts its
+/// heartbeats from one again: they would be rejected as late until they pass the old count. Its
+/// clients must get a reset at once, and new flows must go to the new incarnation.
 #[test]
 fn a_client_of_a_server_that_is_back_under_its_old_id_is_told() {
     let mut fleet = fleet("old-id", 12, &["desk"]);
@@ -246,7 +248,7 @@
     std::thread::sleep(Duration::from_millis(900));
     let opened = server.opened();
     for port in 30_001..30_020 {
-        client.open(port, 443, &through).expect("the other server takes it");
+        client.open(port, 443, &through).expect("the other server accepts the flow");
     }
     let after = client.request(&mut open, &through, SOON);
 
@@ -254,8 +256,8 @@
     assert_eq!(after, Outcome::Answered(id));
 }
 
-/// The store is down, and a balancer is started again beside it. It takes the configuration from
-/// another balancer and serves.
+/// Guards against a balancer that does not serve because it restarted while the store is down. It
+/// must fetch the configuration from another balancer.
 #[test]
 fn a_balancer_that_starts_while_the_store_is_down_serves() {
     let mut fleet = fleet("store-down", 6, &["desk", "desk"]);
@@ -290,7 +292,7 @@
     assert_eq!(dropped, Err(Outcome::Reset));
 }
 
-/// Guards against a change that is applied late because all watches wait on silent connections.
+/// Guards against a change that is applied late because all watches wait on stalled connections.
 #[test]
 fn a_change_is_in_force_in_time_though_all_connections_to_the_store_fell_silent() {
     let fleet = fleet("silent-watch", 18, &["desk", "vault"]);
@@ -307,8 +309,8 @@
     assert!(served_by(&moved, "vault"), "{moved:?}");
 }
 
-/// Guards against a change that is missed because the store was restored from an older copy and its revisions have
-/// already passed the one that the watches continue from.
+/// Guards against a change that is missed because the store was restored from an older copy and its
+/// revisions have already passed the one from which the watches continue.
 #[test]
 fn a_change_at_a_revision_that_is_given_out_again_is_in_force() {
     let fleet = fleet("revision-again", 19, &["desk", "vault"]);
@@ -333,7 +335,8 @@
     assert!(served_by(&moved, "vault"), "{moved:?}");
 }
 
-/// Guards against a process that stops answering all callers because one of them does not read its answers.
+/// Guards against a process that stops answering all callers because one of them does not read its
+/// answers.
 #[test]
 fn a_caller_that_reads_no_answer_does_not_block_others() {
     let fleet = fleet("unread-answers", 20, &["desk"]);
@@ -355,10 +358,9 @@
     assert_eq!(&status_line, b"HTTP/1.1 200 OK");
 }
 
-/// A hall is switched off by an operator who had it evacuated, and filings that were still sent there are
-/// lost. The order holds within a second on every process, over a restart of all of them, and until it is
-/// taken back, also when that happens in a part of the history that the store drops. Feeds that are open
-/// go on.
+/// Guards against requests lost in a failure domain that was evacuated and then switched off. The
+/// order must be in force within a second, survive a restart of all processes, and end with its
+/// deletion even if the store drops that part of its history. Open flows must survive.
 #[test]
 fn an_evacuated_domain_gets_no_new_flow_until_it_is_taken_back() {
     let mut fleet = fleet("evacuated", 14, &["desk", "desk"]);
@@ -394,8 +396,8 @@
     assert_eq!(opened, Ok(()));
 }
 
-/// Guards against new flows in an evacuated failure domain, and processes that nobody finds, after the store came
-/// back from a copy that was made before the order was given.
+/// Guards against new flows in an evacuated failure domain, and processes that are not found, after
+/// the store was restored from a copy that is older than the order and the entries of processes.
 #[test]
 fn orders_and_entries_outlive_the_stores_return_from_an_older_copy() {
     let fleet = fleet("store-returns", 17, &["desk", "desk"]);
@@ -425,8 +427,9 @@
     assert_eq!(taken_back, Ok(()));
 }
 
-/// Servers that have just started are drowned by all that is new, because they are empty. They are given
-/// what the operator says they bear, and the rest is refused at once, not left to time out.
+/// Guards against recently started servers that are overloaded because they are empty and attract
+/// all new flows. They must get only the rate that the configuration states, and the other flows
+/// must be refused at once instead of timing out.
 #[test]
 fn cold_servers_get_what_they_bear_and_the_rest_is_refused_at_once() {
     let fleet = fleet("cold", 15, &["desk", "desk"]);
@@ -452,8 +455,8 @@
     assert!(warm);
 }
 
-/// The store takes a balancer's entry away while its lease runs on. Renewals succeed and nobody finds
-/// the balancer by the store any more, unless it looks.
+/// Guards against a balancer that stays unregistered: the store removed its entry while the lease
+/// is valid, so that renewals succeed. The balancer must check that its entry exists.
 #[test]
 fn an_entry_that_the_store_took_away_is_written_again() {
     let fleet = fleet("entry", 8, &["desk"]);
@@ -468,7 +471,8 @@
     assert_eq!(fleet.store.keys(prefix), all);
 }
 
-/// Garbage on every socket of a balancer and an agent ends no process and harms no flow.
+/// Guards against invalid datagrams that end a process or break a flow, on each UDP socket of
+/// balancers and agents.
 #[test]
 fn garbage_is_counted_and_dropped() {
     let fleet = fleet("garbage", 9, &["desk"]);
@@ -480,7 +484,7 @@
     for host in &hosts {
         for port in ports {
             for length in [0, 1, 31, 32, 33, 500] {
-                // Nobody listens at some of these.
+                // Not every process listens on each of these ports.
                 let _ = socket.send_to(&vec![0xa5; length], (*host, port));
             }
         }
@@ -498,7 +502,7 @@
     let client = Client::bind(fleet.client(0), fleet.ports);
     let balancer = fleet.balancers()[0];
 
-    std::fs::write(fleet.settings_path(balancer), "{\"node\": 7").expect("it can be written");
+    std::fs::write(fleet.settings_path(balancer), "{\"node\": 7").expect("the file can be written");
     fleet.signal(balancer, Signal::Reload);
     std::thread::sleep(Duration::from_millis(800));
     let opened = client.open(30_000, 443, &[balancer]);
