--- a/crates/nutmegkeel_node/src/l4/agent.rs
+++ b/crates/nutmegkeel_node/src/l4/agent.rs
@@ -13,7 +13,7 @@
 use nutmegkeel_core::l4::policy::Policy;
 use nutmegkeel_core::l4::route::Table;
 use nutmegkeel_platform::settings::Settings;
-use nutmegkeel_platform::store::Newest;
+use nutmegkeel_platform::store::LatestEra;
 use nutmegkeel_platform::{control, packet};
 use nutmegkeel_wire::l4 as wire;
 
@@ -87,9 +87,9 @@
         heartbeat_ms: settings.heartbeat_ms,
         checkpoints_per_s: settings.store_writes_per_s * CHECKPOINT_PERCENT / 100,
     };
-    let newest = Newest::default();
+    let newest = LatestEra::default();
     let (checkpoints, lists) = checkpoint::channel();
-    let addresses = settings.beside()?;
+    let addresses = settings.endpoints()?;
     let shared = Arc::new(Shared {
         core: Mutex::new(Agent::open(now, identity, &settings.seeds)),
         clock,
@@ -155,7 +155,7 @@
 fn spawn_membership(
     shared: &Arc<Shared>,
     settings: &Settings,
-    newest: &Newest,
+    newest: &LatestEra,
 ) -> Result<(), Fault> {
     let hearing = Arc::clone(shared);
     let listing = Arc::clone(shared);
@@ -196,11 +196,11 @@
     serve("heartbeats", address, move |call| match control::decode(&call.path, &call.body) {
         Ok(control::Call::Heartbeat(beat)) => {
             shared.handle(Event::Heartbeat(beat), &mut []);
-            Answer::new(200, control::EMPTY)
+            Answer::new(200, control::EMPTY_BODY)
         }
         Ok(control::Call::Deregister(leaving)) => {
             shared.handle(Event::Deregistered(leaving), &mut []);
-            Answer::new(200, control::EMPTY)
+            Answer::new(200, control::EMPTY_BODY)
         }
         Err(fault @ control::Fault::Path(_)) => Answer::new(404, fault.to_string()),
         Err(fault) => {
--- a/crates/nutmegkeel_node/src/l4/balancer.rs
+++ b/crates/nutmegkeel_node/src/l4/balancer.rs
@@ -17,7 +17,7 @@
 use nutmegkeel_core::l4::route::Table;
 use nutmegkeel_core::l4::watch::Timeouts;
 use nutmegkeel_platform::settings::Settings;
-use nutmegkeel_platform::store::Newest;
+use nutmegkeel_platform::store::LatestEra;
 use nutmegkeel_platform::{control, packet};
 use nutmegkeel_wire::l4 as wire;
 
@@ -107,7 +107,7 @@
         kept: Mutex::new(Packets::open(KEPT_MS)),
         last_packet: Mutex::new(now),
     });
-    let newest = Newest::default();
+    let newest = LatestEra::default();
     let source = Source::default();
     let fetcher = spawn_configuration(&shared, settings, &newest, &source)?;
     spawn_readers(&shared, fetcher)?;
@@ -169,7 +169,7 @@
 fn spawn_configuration(
     shared: &Arc<Shared>,
     settings: &Settings,
-    newest: &Newest,
+    newest: &LatestEra,
     source: &Source,
 ) -> Result<Fetcher, Fault> {
     let store = Metered::open(settings, newest, Purpose::Configuration);
@@ -212,7 +212,7 @@
 fn spawn_membership(
     shared: &Arc<Shared>,
     settings: &Settings,
-    newest: &Newest,
+    newest: &LatestEra,
 ) -> Result<(), Fault> {
     let hearing = Arc::clone(shared);
     let registering = Arc::clone(shared);
--- a/crates/nutmegkeel_node/src/l4/checkpoint.rs
+++ b/crates/nutmegkeel_node/src/l4/checkpoint.rs
@@ -9,7 +9,7 @@
 use metrics::counter;
 use nutmegkeel_core::l4::checkpoint::Checkpoint;
 use nutmegkeel_platform::settings::Settings;
-use nutmegkeel_platform::store::Newest;
+use nutmegkeel_platform::store::LatestEra;
 use nutmegkeel_store::document::Document;
 use nutmegkeel_wire::checkpoint as wire;
 
@@ -63,7 +63,7 @@
 /// When the thread cannot be started.
 pub(super) fn spawn(
     settings: &Settings,
-    newest: &Newest,
+    newest: &LatestEra,
     clock: Clock,
     lists: Receiver<Checkpoint>,
     answers: impl Fn() -> bool + Send + 'static,
--- a/crates/nutmegkeel_node/src/l4/collector.rs
+++ b/crates/nutmegkeel_node/src/l4/collector.rs
@@ -7,7 +7,7 @@
 
 use nutmegkeel_core::l4::checkpoint::Checkpoint;
 use nutmegkeel_platform::settings::Settings;
-use nutmegkeel_platform::store::Newest;
+use nutmegkeel_platform::store::LatestEra;
 use nutmegkeel_store::group::{Entry, Group};
 use nutmegkeel_wire::checkpoint as wire;
 
@@ -42,7 +42,7 @@
 /// When the thread cannot be started.
 pub(super) fn spawn(
     settings: &Settings,
-    newest: &Newest,
+    newest: &LatestEra,
     clock: Clock,
     batches: Receiver<Batch>,
     committed: impl Fn(Vec<(Ipv4Addr, u64)>) + Send + 'static,
--- a/crates/nutmegkeel_node/src/l4/configuration/watch.rs
+++ b/crates/nutmegkeel_node/src/l4/configuration/watch.rs
@@ -262,7 +262,7 @@
 
 /// What a key of the operator's holds, if it is needed and understood.
 fn entry(key: &str) -> Option<Entry> {
-    configuration::entry(key).unwrap_or_else(|fault| {
+    configuration::decode_key(key).unwrap_or_else(|fault| {
         warn!(event = "order_unreadable", fault:% = fault; "order left out, the others hold");
         None
     })
--- a/crates/nutmegkeel_node/src/l4/membership.rs
+++ b/crates/nutmegkeel_node/src/l4/membership.rs
@@ -9,7 +9,7 @@
 use metrics::gauge;
 use nutmegkeel_core::clock::Time;
 use nutmegkeel_platform::settings::Settings;
-use nutmegkeel_platform::store::Newest;
+use nutmegkeel_platform::store::LatestEra;
 use nutmegkeel_store::kv::{Fault, Pair, Registry, Store};
 use nutmegkeel_store::registration::Registration;
 
@@ -77,7 +77,7 @@
 /// When the thread cannot be started.
 pub(super) fn spawn(
     settings: &Settings,
-    newest: &Newest,
+    newest: &LatestEra,
     clock: Clock,
     hooks: Hooks,
 ) -> io::Result<()> {
--- a/crates/nutmegkeel_node/src/l4/metered.rs
+++ b/crates/nutmegkeel_node/src/l4/metered.rs
@@ -4,7 +4,7 @@
 use nutmegkeel_core::l4::watch::Timeouts;
 use nutmegkeel_core::revision::{Era, Revision};
 use nutmegkeel_platform::settings::Settings;
-use nutmegkeel_platform::store::{Client, Newest};
+use nutmegkeel_platform::store::{Client, LatestEra};
 use nutmegkeel_store::kv::{
     Committed, Fault, Image, Kept, Lease, Pair, Registry, Store, Watched, Write,
 };
@@ -41,7 +41,7 @@
 
 impl Metered {
     /// A client of the store that the settings name. All clients of a process share what they hear of its era.
-    pub(super) fn open(settings: &Settings, newest: &Newest, purpose: Purpose) -> Self {
+    pub(super) fn open(settings: &Settings, newest: &LatestEra, purpose: Purpose) -> Self {
         Self { purpose, client: Client::open(settings.store, newest.clone()) }
     }
 
