--- a/crates/nutmegkeel/src/explain.rs
+++ b/crates/nutmegkeel/src/explain.rs
@@ -28,7 +28,7 @@
 }
 
 /// Refusal of flows: the event, its cause and the host that decided.
-type Cause = (String, String, String);
+type Refusal = (String, String, String);
 
 /// Events that are counted as refusals.
 const REFUSALS: [&str; 3] = ["reset", "kept", "declined"];
@@ -41,8 +41,8 @@
     let lines = read(&query.files)?;
     let output = &mut io::stdout().lock();
     match &query.flow {
-        Some(flow) => tell(output, lines, flow),
-        None => count(output, &lines),
+        Some(flow) => print_flow(output, lines, flow),
+        None => print_refusals(output, &lines),
     }
 }
 
@@ -52,10 +52,10 @@
     }
     let mut lines = Vec::new();
     for file in files {
-        let open = File::open(file).map_err(|error| {
+        let input = File::open(file).map_err(|error| {
             io::Error::new(error.kind(), format!("{}: {error}", file.display()))
         })?;
-        lines.extend(parse(BufReader::new(open)));
+        lines.extend(parse(BufReader::new(input)));
     }
     Ok(lines)
 }
@@ -75,14 +75,14 @@
     lines
 }
 
-fn tell(output: &mut impl Write, lines: Vec<Line>, flow: &str) -> io::Result<()> {
+fn print_flow(output: &mut impl Write, lines: Vec<Line>, flow: &str) -> io::Result<()> {
     let is_of_flow = |line: &Line| line.attributes.get("flow").is_some_and(|id| id.contains(flow));
-    let mut story: Vec<Line> = lines.into_iter().filter(is_of_flow).collect();
-    story.sort_by(|one, two| one.time.cmp(&two.time));
-    if story.is_empty() {
+    let mut history: Vec<Line> = lines.into_iter().filter(is_of_flow).collect();
+    history.sort_by(|one, two| one.time.cmp(&two.time));
+    if history.is_empty() {
         return writeln!(output, "no line speaks of {flow}");
     }
-    for line in story {
+    for line in history {
         let host = line.mdc.get("host").map_or("?", String::as_str);
         let inputs: Vec<String> = line
             .attributes
@@ -95,8 +95,8 @@
     Ok(())
 }
 
-fn count(output: &mut impl Write, lines: &[Line]) -> io::Result<()> {
-    let mut causes: BTreeMap<Cause, u64> = BTreeMap::new();
+fn print_refusals(output: &mut impl Write, lines: &[Line]) -> io::Result<()> {
+    let mut refusals: BTreeMap<Refusal, u64> = BTreeMap::new();
     for line in lines {
         let attribute = |name: &str| line.attributes.get(name).cloned().unwrap_or_default();
         let event = attribute("event");
@@ -105,9 +105,9 @@
         }
         let cause = attribute(if event == "declined" { "reason" } else { "cause" });
         let host = line.mdc.get("host").cloned().unwrap_or_default();
-        *causes.entry((event, cause, host)).or_default() += 1;
+        *refusals.entry((event, cause, host)).or_default() += 1;
     }
-    let mut rows: Vec<(Cause, u64)> = causes.into_iter().collect();
+    let mut rows: Vec<(Refusal, u64)> = refusals.into_iter().collect();
     rows.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
     for ((event, cause, host), count) in rows {
         writeln!(output, "{count:>7} {event} {cause} {host}")?;
--- a/crates/nutmegkeel/src/main.rs
+++ b/crates/nutmegkeel/src/main.rs
@@ -13,7 +13,7 @@
 
 fn main() -> ExitCode {
     let command = arguments::parse();
-    let ended = match command {
+    let result = match command {
         Command::Balancer(file) => run::balancer(&file),
         Command::Agent(file) => run::agent(&file),
         Command::PlatformBalancer(policy) => run::platform_balancer(policy),
@@ -35,7 +35,7 @@
         Command::Drain(access, address) => operator::drain(&access, address).map_err(Into::into),
     };
     logging::finish();
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
             eprintln!("{fault}");
--- a/crates/nutmegkeel/src/operator.rs
+++ b/crates/nutmegkeel/src/operator.rs
@@ -130,7 +130,7 @@
 
     fn command(&self, call: &str, parameters: ArrayParams, id: &str) -> Result<Outcome, Fault> {
         let answer = self.runtime.block_on(self.http.request::<Outcome, _>(call, parameters));
-        let outcome = answer.map_err(|error| self.unanswered(&error, id))?;
+        let outcome = answer.map_err(|error| self.command_fault(&error, id))?;
         match outcome.verdict {
             Verdict::Ran => Ok(outcome),
             Verdict::NotRun | Verdict::MayHaveRun => Err(Fault::Ended(outcome)),
@@ -139,7 +139,7 @@
 
     /// Converts a client error. A refusal by the balancer changed nothing; any other failure may
     /// have occurred after the change.
-    fn unanswered(&self, error: &ClientError, id: &str) -> Fault {
+    fn command_fault(&self, error: &ClientError, id: &str) -> Fault {
         match error {
             ClientError::Call(refusal) => Fault::Refused(self.at, refusal.message().to_owned()),
             other => Fault::Unanswered(self.at, other.to_string(), id.to_owned()),
@@ -281,10 +281,10 @@
         println!("revision {} at {}", status.revision.0, status.address);
         return;
     }
-    let told = |process: &&&Process| process.revision == Some(status.revision);
-    let same = balancers.iter().filter(told).count() + 1;
+    let is_current = |process: &&&Process| process.revision == Some(status.revision);
+    let current = balancers.iter().filter(is_current).count() + 1;
     println!(
-        "revision {} is in force on {same} of {} balancers",
+        "revision {} is in force on {current} of {} balancers",
         status.revision.0,
         balancers.len() + 1
     );
--- a/crates/nutmegkeel/src/platform.rs
+++ b/crates/nutmegkeel/src/platform.rs
@@ -16,7 +16,7 @@
 pub(crate) enum Fault {
     /// The balancer was not reached or did not answer.
     #[error("balancer at {0}: {1}; another balancer may answer")]
-    Silent(SocketAddr, String),
+    NoAnswer(SocketAddr, String),
     /// The answer cannot be decoded.
     #[error("balancer at {0}: answer not understood: {1}")]
     Body(SocketAddr, String),
@@ -28,10 +28,10 @@
 /// Returns a fault if the balancer does not answer, or the answer cannot be decoded.
 pub(crate) fn status(at: SocketAddr, json: bool) -> Result<(), Fault> {
     let config = ureq::Agent::config_builder().timeout_global(Some(TIMEOUT)).build();
-    let silent = |error: ureq::Error| Fault::Silent(at, error.to_string());
+    let no_answer = |error: ureq::Error| Fault::NoAnswer(at, error.to_string());
     let url = format!("http://{at}{STATUS}");
-    let mut answer = ureq::Agent::new_with_config(config).get(&url).call().map_err(silent)?;
-    let text = answer.body_mut().read_to_string().map_err(silent)?;
+    let mut answer = ureq::Agent::new_with_config(config).get(&url).call().map_err(no_answer)?;
+    let text = answer.body_mut().read_to_string().map_err(no_answer)?;
     let status: Status =
         serde_json::from_str(&text).map_err(|error| Fault::Body(at, error.to_string()))?;
     if json {
@@ -43,24 +43,24 @@
 }
 
 fn describe(status: &Status) -> String {
-    let word = |yes, word, otherwise| if yes { word } else { otherwise };
+    let choose = |condition, text, otherwise| if condition { text } else { otherwise };
     let mut text = String::new();
     let mut line = |name: &str, value: &str| {
         // Writing into a string cannot fail.
         let _ = writeln!(text, "{name:<14} {value}");
     };
     line("balancer", &format!("{} in {}", status.address, status.domain));
-    line("rotation", word(status.ready, "ready", "not ready"));
+    line("rotation", choose(status.ready, "ready", "not ready"));
     line("configuration", &version(status.version));
     line("evacuated", &evacuated(status));
-    line("store", word(status.reaches_store, "answers", "does not answer"));
-    line("delegate", word(status.delegate, "yes", "no"));
+    line("store", choose(status.reaches_store, "answers", "does not answer"));
+    line("delegate", choose(status.delegate, "yes", "no"));
     line("balancers", &format!("{} others", status.balancers));
     for (domain, agents) in &status.agents {
         line("agents", &format!("{agents} in {domain}"));
     }
-    for one in &status.rooms {
-        line("room", &room(one));
+    for room in &status.rooms {
+        line("room", &describe_room(room));
     }
     for (agent, times) in &status.slow {
         let (service_ms, usual_ms) = (times.service_ms, times.usual_ms);
@@ -71,7 +71,7 @@
 
 /// Describes the room of a service in a failure domain. The service is shown as the first route
 /// that names it.
-fn room(room: &Room) -> String {
+fn describe_room(room: &Room) -> String {
     let service =
         room.route.as_deref().map_or_else(|| format!("{:016x}", room.service), str::to_owned);
     format!(
--- a/crates/nutmegkeel/src/run.rs
+++ b/crates/nutmegkeel/src/run.rs
@@ -17,7 +17,7 @@
 use crate::{logging, operator, platform};
 
 /// Interval at which the signals are checked.
-const WAKE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Exit code for wrong usage: arguments or settings.
 const USAGE: u8 = 2;
@@ -85,7 +85,7 @@
     let stop = stop_signal()?;
     let handle = balancer::spawn(&settings, metric::install()?)?;
     while !stop.load(Ordering::Relaxed) && !handle.must_stop() {
-        thread::sleep(WAKE);
+        thread::sleep(POLL_INTERVAL);
     }
     handle.leave();
     Ok(())
@@ -97,17 +97,17 @@
     };
     logging::start();
     let stop = stop_signal()?;
-    let waiting = agent::bind(settings, metric::install()?)?;
-    let Some(handle) = waiting.spawn(|| stop.load(Ordering::Relaxed))? else {
+    let bound = agent::bind(settings, metric::install()?)?;
+    let Some(handle) = bound.spawn(|| stop.load(Ordering::Relaxed))? else {
         return Ok(());
     };
-    let mut told = false;
+    let mut leave_requested = false;
     while !handle.is_over() {
-        if stop.load(Ordering::Relaxed) && !told {
-            told = true;
+        if stop.load(Ordering::Relaxed) && !leave_requested {
+            leave_requested = true;
             handle.leave();
         }
-        thread::sleep(WAKE);
+        thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
@@ -118,7 +118,7 @@
     logging::start();
     let signals = Signals::open()?;
     let mut handle = l4::balancer::spawn(&settings, path, metric::install()?, policy)?;
-    while !signals.stops() {
+    while !signals.must_stop() {
         handle.pause();
         handle.tick(signals.take_reload());
     }
@@ -132,7 +132,7 @@
     logging::start();
     let signals = Signals::open()?;
     let mut handle = l4::agent::spawn(&settings, path, metric::install()?, policy)?;
-    while !signals.stops() {
+    while !signals.must_stop() {
         handle.pause();
         handle.tick(signals.take_reload());
     }
@@ -174,7 +174,7 @@
         Ok(Self { stop: stop_signal()?, reload })
     }
 
-    fn stops(&self) -> bool {
+    fn must_stop(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
