--- a/crates/nutmegkeel/tests/platform.rs
+++ b/crates/nutmegkeel/tests/platform.rs
@@ -10,7 +10,7 @@
 use nutmegkeel_standin::client::{Client, Outcome};
 use nutmegkeel_standin::fleet::{Fleet, Plan, Signal};
 use nutmegkeel_standin::host::{CONFIG_APPLY_MS, DOMAIN};
-use nutmegkeel_standin::store::Mood;
+use nutmegkeel_standin::store::Mode;
 
 const SOON: Duration = Duration::from_secs(3);
 const LATER: Duration = Duration::from_secs(8);
@@ -75,7 +75,7 @@
 
     fleet.signal(first, Signal::Term);
     let during = client.request(&mut open, &[second], SOON);
-    let ended = fleet.ended(first, LATER);
+    let ended = fleet.exits_within(first, LATER);
     let after = client.request(&mut open, &[second], SOON);
 
     assert!(served_by(&before, "desk"), "{before:?}");
@@ -96,7 +96,7 @@
     let before = client.request(&mut open, &through, SOON);
 
     fleet.signal(agent, Signal::Kill);
-    assert!(fleet.ended(agent, SOON));
+    assert!(fleet.exits_within(agent, SOON));
     fleet.start(agent);
     let after = client.request(&mut open, &through, SOON);
 
@@ -133,10 +133,10 @@
     std::thread::sleep(LATER);
 
     fleet.signal(agent, Signal::Kill);
-    assert!(fleet.ended(agent, SOON));
+    assert!(fleet.exits_within(agent, SOON));
     fleet.start_server(agent);
     fleet.start(agent);
-    let told = client.listen(&open, SOON);
+    let told = client.wait_for_outcome(&open, SOON);
 
     assert!(served_by(&before, "desk"), "{before:?}");
     assert_eq!(told, Outcome::Reset);
@@ -154,17 +154,17 @@
     let mut open = client.open(30_000, 443, &through).expect("the flow opens");
     let before = client.request(&mut open, &through, SOON);
 
-    fleet.store.set_mood(Mood::Down);
+    fleet.store.set_mode(Mode::Down);
     for host in &hosts {
         fleet.signal(*host, Signal::Kill);
     }
     for host in &hosts {
-        assert!(fleet.ended(*host, SOON));
+        assert!(fleet.exits_within(*host, SOON));
         fleet.start(*host);
     }
     let during = client.request(&mut open, &through, LATER);
     let refused = client.open(30_001, 443, &through).map(|_| ());
-    fleet.store.set_mood(Mood::Well);
+    fleet.store.set_mode(Mode::Well);
     assert!(fleet.is_ready_within(LATER));
     let opened = client.open(30_002, 443, &through).map(|_| ());
 
@@ -184,10 +184,10 @@
     let through = fleet.balancers();
     std::thread::sleep(Duration::from_secs(5));
 
-    fleet.store.set_mood(Mood::Down);
+    fleet.store.set_mode(Mode::Down);
     for balancer in &through {
         fleet.signal(*balancer, Signal::Kill);
-        assert!(fleet.ended(*balancer, SOON));
+        assert!(fleet.exits_within(*balancer, SOON));
     }
     for balancer in &through {
         fleet.start(*balancer);
@@ -222,7 +222,7 @@
     std::thread::sleep(SOON);
 
     fleet.restart_server(agent);
-    let told = client.listen(&open, SOON);
+    let told = client.wait_for_outcome(&open, SOON);
     let mut next = client.open(30_001, 443, &through).expect("the flow opens");
     let after = client.request(&mut next, &through, SOON);
 
@@ -263,10 +263,10 @@
     let mut fleet = fleet("store-down", 6, &["desk", "desk"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
     let second = fleet.balancers()[1];
-    fleet.store.set_mood(Mood::Down);
+    fleet.store.set_mode(Mode::Down);
 
     fleet.signal(second, Signal::Kill);
-    assert!(fleet.ended(second, SOON));
+    assert!(fleet.exits_within(second, SOON));
     fleet.start(second);
     let ready = fleet.is_ready_within(LATER);
     let opened = client.open(30_000, 443, &[second]);
@@ -281,7 +281,7 @@
     let client = Client::bind(fleet.client(0), fleet.ports);
     let through = fleet.balancers();
 
-    fleet.store.forget_history();
+    fleet.store.compact();
     fleet.configure(2, &[(443, "vault")]);
     std::thread::sleep(Duration::from_secs(1));
     let mut open = client.open(30_000, 443, &through).expect("the flow opens");
@@ -316,18 +316,18 @@
     let fleet = fleet("revision-again", 19, &["desk", "vault"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
     let through = fleet.balancers();
-    let copy = fleet.store.copy();
+    let snapshot = fleet.store.snapshot();
     fleet.configure(2, &[(443, "desk")]);
     std::thread::sleep(Duration::from_secs(1));
 
-    fleet.store.set_mood(Mood::Down);
+    fleet.store.set_mode(Mode::Down);
     std::thread::sleep(Duration::from_millis(300));
-    fleet.store.restore(&copy);
+    fleet.store.restore(&snapshot);
     fleet.configure(3, &[(443, "vault")]);
     for number in 0..20 {
         fleet.store.put(&format!("other/{number}"), "");
     }
-    fleet.store.set_mood(Mood::Well);
+    fleet.store.set_mode(Mode::Well);
     std::thread::sleep(IN_FORCE);
     let mut open = client.open(30_000, 443, &through).expect("the flow opens");
     let moved = client.request(&mut open, &through, SOON);
@@ -377,15 +377,15 @@
     let during = client.request(&mut open, &through, SOON);
     for host in &hosts {
         fleet.signal(*host, Signal::Kill);
-        assert!(fleet.ended(*host, SOON));
+        assert!(fleet.exits_within(*host, SOON));
     }
     for host in &hosts {
         fleet.start(*host);
     }
     assert!(fleet.is_ready_within(LATER));
     let restarted = client.open(30_002, 443, &through).map(|_| ());
-    fleet.store.forget_history();
-    fleet.take_back(DOMAIN);
+    fleet.store.compact();
+    fleet.cancel_evacuation(DOMAIN);
     std::thread::sleep(Duration::from_secs(1));
     let opened = client.open(30_003, 443, &through).map(|_| ());
 
@@ -403,12 +403,12 @@
     let fleet = fleet("store-returns", 17, &["desk", "desk"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
     let through = fleet.balancers();
-    let copy = fleet.store.copy();
+    let snapshot = fleet.store.snapshot();
     std::thread::sleep(Duration::from_secs(1));
     fleet.evacuate(DOMAIN);
     std::thread::sleep(Duration::from_secs(1));
 
-    fleet.store.restore(&copy);
+    fleet.store.restore(&snapshot);
     std::thread::sleep(Duration::from_millis(700));
     let held = client.open(30_000, 443, &through).map(|_| ());
     fleet.evacuate(DOMAIN);
@@ -416,7 +416,7 @@
     let written_again = client.open(30_001, 443, &through).map(|_| ());
     let entries = fleet.store.keys("nutmegkeel/balancers/all/");
     let status = status(&fleet, through[0]);
-    fleet.take_back(DOMAIN);
+    fleet.cancel_evacuation(DOMAIN);
     std::thread::sleep(Duration::from_secs(1));
     let taken_back = client.open(30_002, 443, &through).map(|_| ());
 
@@ -436,15 +436,15 @@
     let client = Client::bind(fleet.client(0), fleet.ports);
     let through = fleet.balancers();
     let servers: Vec<_> = fleet.agents().into_iter().map(|ip| fleet.server(ip)).collect();
-    fleet.configure_cold(2, &[(443, "desk")], &[("desk", 2)]);
-    servers.iter().for_each(|server| server.cool(60_000));
+    fleet.configure_cold_rates(2, &[(443, "desk")], &[("desk", 2)]);
+    servers.iter().for_each(|server| server.set_cold_ms(60_000));
     std::thread::sleep(Duration::from_secs(1));
 
     let began = std::time::Instant::now();
     let outcomes: Vec<_> =
         (30_000..30_020).map(|port| client.open(port, 443, &through).map(|_| ())).collect();
     let took = began.elapsed();
-    servers.iter().for_each(|server| server.cool(0));
+    servers.iter().for_each(|server| server.set_cold_ms(0));
     std::thread::sleep(Duration::from_secs(1));
     let warm = (30_100..30_120).all(|port| client.open(port, 443, &through).is_ok());
 
@@ -464,7 +464,7 @@
     std::thread::sleep(Duration::from_secs(7));
     let all = fleet.store.keys(prefix);
 
-    fleet.store.remove(&all[0]);
+    fleet.store.remove_without_event(&all[0]);
     std::thread::sleep(Duration::from_secs(7));
 
     assert_eq!(all.len(), 2);
--- a/crates/nutmegkeel_dev/src/soak/processes/caller.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/caller.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use nutmegkeel_standin::client::{Client, Open, Outcome};
+use nutmegkeel_standin::client::{Client, OpenFlow, Outcome};
 use nutmegkeel_standin::host::TIMEOUT_MS;
 
 use super::load::Load;
@@ -55,7 +55,7 @@
 
 /// A flow that a caller keeps.
 struct Long {
-    open: Open,
+    open: OpenFlow,
     port: u16,
     holder: String,
 }
@@ -104,7 +104,7 @@
         self.use_long(&mut kept).then_some(kept)
     }
 
-    fn open_and_ask(&mut self, port: u16) -> Option<(Open, String)> {
+    fn open_and_ask(&mut self, port: u16) -> Option<(OpenFlow, String)> {
         let from_port = self.take_ports(1);
         let sent = Instant::now();
         let opened = self.client.open(from_port, port, &self.balancers);
@@ -130,7 +130,7 @@
         let sent = Instant::now();
         let ports = first..first + flows;
         let mut is_served = false;
-        for outcome in self.client.ask_at_once(ports, port, &self.balancers, FINAL) {
+        for outcome in self.client.request_concurrently(ports, port, &self.balancers, FINAL) {
             match outcome {
                 Outcome::Answered(id) => {
                     is_served = true;
--- a/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
@@ -8,7 +8,7 @@
 use nutmegkeel_standin::client::{Client, Outcome};
 use nutmegkeel_standin::fleet::{Fleet, Signal};
 use nutmegkeel_standin::proxy;
-use nutmegkeel_standin::store::Mood;
+use nutmegkeel_standin::store::Mode;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -124,10 +124,10 @@
             self.stopped.retain(|other| *other != host);
         }
         self.fleet.signal(host, signal);
-        if !self.fleet.ended(host, Duration::from_secs(8)) {
+        if !self.fleet.exits_within(host, Duration::from_secs(8)) {
             self.truth.break_promise(format!("{host} did not end within its grace"));
             self.fleet.signal(host, Signal::Kill);
-            self.fleet.ended(host, SETTLE);
+            self.fleet.exits_within(host, SETTLE);
         }
         self.fleet.start(host);
     }
@@ -150,13 +150,13 @@
     }
 
     fn store_mood(&mut self) {
-        let moods = [Mood::Well, Mood::Down, Mood::LosesAnswers, Mood::Slow(300), Mood::Well];
+        let moods = [Mode::Well, Mode::Down, Mode::LosesAnswers, Mode::Slow(300), Mode::Well];
         let mood = moods[self.rng.random_range(0..moods.len())];
         self.note(format!("store: {mood:?}"));
-        self.fleet.store.set_mood(mood);
-        self.truth.store_is_well(mood == Mood::Well);
+        self.fleet.store.set_mode(mood);
+        self.truth.store_is_well(mood == Mode::Well);
         if self.rng.random_bool(0.3) {
-            self.fleet.store.forget_history();
+            self.fleet.store.compact();
         }
     }
 
@@ -229,7 +229,7 @@
         let host = self.pick(&self.fleet.agents());
         let answer_ms = self.rng.random_range(SLOW_MS);
         self.note(format!("{} takes {answer_ms} ms", self.fleet.server(host).id()));
-        self.fleet.server(host).answer_after(answer_ms);
+        self.fleet.server(host).set_answer_ms(answer_ms);
     }
 
     fn speed_up(&mut self) {
@@ -241,7 +241,7 @@
 
     fn answer_as_usual(&self, host: Ipv4Addr) {
         if self.load.is_varied() {
-            self.fleet.server(host).answer_after(0);
+            self.fleet.server(host).set_answer_ms(0);
         }
     }
 
@@ -266,7 +266,7 @@
         if self.load.is_varied() {
             self.calm_load();
         }
-        self.fleet.store.set_mood(Mood::Well);
+        self.fleet.store.set_mode(Mode::Well);
         self.fleet.proxy.set_mode(proxy::Mode::Pass);
         self.truth.store_is_well(true);
         self.configure(&[(443, "vault"), (444, "desk")]);
@@ -303,7 +303,7 @@
             }
         }
         for host in [balancers, self.fleet.agents()].concat() {
-            if self.fleet.ended(host, Duration::ZERO) {
+            if self.fleet.exits_within(host, Duration::ZERO) {
                 self.truth.break_promise(format!("the process of {host} ended by itself"));
             }
         }
