--- a/crates/nutmegkeel/tests/commands.rs
+++ b/crates/nutmegkeel/tests/commands.rs
@@ -48,9 +48,9 @@
 }
 
 /// Balancer process that is killed when it is dropped.
-struct Running(Child);
+struct BalancerProcess(Child);
 
-impl Drop for Running {
+impl Drop for BalancerProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -58,7 +58,7 @@
 }
 
 /// Starts a balancer and returns once its administration API accepts connections.
-fn start_balancer(directory: &Path, administration: SocketAddr) -> Running {
+fn start_balancer(directory: &Path, administration: SocketAddr) -> BalancerProcess {
     let settings = write_balancer(directory, "127.0.0.1:0", &administration.to_string());
     let child = Command::new(env!("CARGO_BIN_EXE_nutmegkeel"))
         .args(["balancer", "--settings", &settings.to_string_lossy()])
@@ -66,7 +66,7 @@
         .stderr(Stdio::null())
         .spawn()
         .expect("the binary starts");
-    let running = Running(child);
+    let running = BalancerProcess(child);
     let until = Instant::now() + STARTED_WITHIN;
     while std::net::TcpStream::connect(administration).is_err() {
         assert!(Instant::now() < until, "the balancer does not answer at {administration}");
@@ -75,20 +75,24 @@
     running
 }
 
-fn said(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 #[test]
-fn settings_that_are_wrong_are_wrong_usage() {
+fn invalid_settings_exit_with_the_usage_code() {
     let output = run(&["check-settings", "/nowhere/balancer.json"]);
 
     assert_eq!(output.status.code(), Some(2));
-    assert!(said(&output).contains("/nowhere/balancer.json: field `file`"), "{}", said(&output));
+    assert!(
+        stderr(&output).contains("/nowhere/balancer.json: field `file`"),
+        "{}",
+        stderr(&output)
+    );
 }
 
 #[test]
-fn a_command_to_a_balancer_that_is_not_there_has_not_run() {
+fn a_command_to_an_unreachable_balancer_is_reported_as_not_run() {
     let token = std::env::temp_dir().join(format!("nutmegkeel-token-{}", std::process::id()));
     std::fs::write(&token, TOKEN).expect("the file can be written");
     let token_file = token.to_string_lossy().into_owned();
@@ -97,13 +101,13 @@
         run(&["class", "set", "--at", "127.0.0.1:1", "--token-file", &token_file, "intake"]);
 
     std::fs::remove_file(&token).expect("the file can be removed");
-    assert_eq!(output.status.code(), Some(3), "{}", said(&output));
+    assert_eq!(output.status.code(), Some(3), "{}", stderr(&output));
 }
 
 /// Guards against a bind error that does not name the field to change, for example when a second
 /// balancer is started on a host.
 #[test]
-fn a_port_in_use_is_named_with_its_field() {
+fn a_bind_error_names_the_field_of_the_address() {
     let taken = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     let address = taken.local_addr().expect("the socket is bound").to_string();
     let directory = directory("port");
@@ -112,16 +116,16 @@
     let output = run(&["balancer", "--settings", &settings.to_string_lossy()]);
 
     std::fs::remove_dir_all(&directory).expect("the directory can be removed");
-    assert_eq!(output.status.code(), Some(3), "{}", said(&output));
+    assert_eq!(output.status.code(), Some(3), "{}", stderr(&output));
     let expected = format!("field `frames`: cannot bind {address}");
-    assert!(said(&output).contains(&expected), "{}", said(&output));
+    assert!(stderr(&output).contains(&expected), "{}", stderr(&output));
 }
 
 /// Guards against a balancer that denies a class that exists: it started while the platform was
 /// unreachable and has neither a configuration nor peers. The operator would create the class
 /// again.
 #[test]
-fn a_balancer_that_knows_no_classes_yet_says_so() {
+fn a_balancer_without_a_configuration_reports_classes_as_not_yet_known() {
     let directory = directory("unknown");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let administration = listener.local_addr().expect("the socket is bound");
@@ -137,8 +141,8 @@
 
     std::fs::remove_dir_all(&directory).expect("the directory can be removed");
     for output in [shown, listed] {
-        assert_eq!(output.status.code(), Some(5), "{}", said(&output));
-        assert!(said(&output).contains("does not know the classes yet"), "{}", said(&output));
+        assert_eq!(output.status.code(), Some(5), "{}", stderr(&output));
+        assert!(stderr(&output).contains("does not know the classes yet"), "{}", stderr(&output));
     }
 }
 
@@ -154,18 +158,18 @@
 }
 
 #[test]
-fn a_mechanism_that_does_not_exist_is_refused_with_the_names_of_those_that_do() {
+fn an_unknown_mechanism_is_refused_with_a_list_of_the_known_ones() {
     let output = run(&["platform", "agent", "--without", "agent-queue", "--without", "tricks"]);
 
     assert_eq!(output.status.code(), Some(1));
-    assert!(said(&output).contains("no mechanism is called `tricks`"), "{}", said(&output));
-    assert!(said(&output).contains("flow-lists"), "{}", said(&output));
+    assert!(stderr(&output).contains("no mechanism is called `tricks`"), "{}", stderr(&output));
+    assert!(stderr(&output).contains("flow-lists"), "{}", stderr(&output));
 }
 
 #[test]
-fn a_balancer_that_is_not_there_has_no_status() {
+fn status_of_an_unreachable_balancer_fails() {
     let output = run(&["platform", "status", "--at", "127.0.0.1:1"]);
 
-    assert_eq!(output.status.code(), Some(3), "{}", said(&output));
-    assert!(said(&output).contains("127.0.0.1:1"), "{}", said(&output));
+    assert_eq!(output.status.code(), Some(3), "{}", stderr(&output));
+    assert!(stderr(&output).contains("127.0.0.1:1"), "{}", stderr(&output));
 }
--- a/crates/nutmegkeel/tests/explain.rs
+++ b/crates/nutmegkeel/tests/explain.rs
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn the_story_of_a_flow_is_in_order_of_time() {
+fn lines_of_a_flow_are_printed_in_order_of_time() {
     let output = explain(&["--flow", "1.1.1.1:5>"]);
 
-    let story = String::from_utf8_lossy(&output.stdout).into_owned();
-    let lines: Vec<&str> = story.lines().collect();
-    assert_eq!(lines.len(), 2, "{story}");
-    assert!(lines[0].contains("b1: opening sent (agent=3.3.3.3"), "{story}");
-    assert!(lines[1].contains("cause=agent_dead"), "{story}");
+    let history = String::from_utf8_lossy(&output.stdout).into_owned();
+    let lines: Vec<&str> = history.lines().collect();
+    assert_eq!(lines.len(), 2, "{history}");
+    assert!(lines[0].contains("b1: opening sent (agent=3.3.3.3"), "{history}");
+    assert!(lines[1].contains("cause=agent_dead"), "{history}");
 }
 
 #[test]
@@ -52,9 +52,9 @@
 }
 
 #[test]
-fn a_flow_that_no_line_speaks_of_is_said_to_be_unknown() {
+fn a_flow_without_lines_is_reported() {
     let output = explain(&["--flow", "9.9.9.9"]);
 
-    let said = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert_eq!(said.trim(), "no line speaks of 9.9.9.9");
+    let printed = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert_eq!(printed.trim(), "no line speaks of 9.9.9.9");
 }
--- a/crates/nutmegkeel/tests/platform.rs
+++ b/crates/nutmegkeel/tests/platform.rs
@@ -12,10 +12,10 @@
 use nutmegkeel_standin::host::{CONFIG_APPLY_MS, DOMAIN};
 use nutmegkeel_standin::store::Mode;
 
-const SOON: Duration = Duration::from_secs(3);
-const LATER: Duration = Duration::from_secs(8);
+const SHORT_WAIT: Duration = Duration::from_secs(3);
+const LONG_WAIT: Duration = Duration::from_secs(8);
 /// Time within which a change must be in force, from the settings of the processes.
-const IN_FORCE: Duration = Duration::from_millis(CONFIG_APPLY_MS);
+const APPLY_TIME: Duration = Duration::from_millis(CONFIG_APPLY_MS);
 
 /// Starts a fleet. Each test passes its own `net`, so that tests can run concurrently.
 fn fleet(name: &str, net: u8, services: &[&'static str]) -> Fleet {
@@ -31,7 +31,11 @@
         conditions: Vec::new(),
     };
     let fleet = Fleet::spawn(plan);
-    assert!(fleet.is_ready_within(LATER), "balancers are not ready; logs in {:?}", fleet.folder());
+    assert!(
+        fleet.is_ready_within(LONG_WAIT),
+        "balancers are not ready; logs in {:?}",
+        fleet.folder()
+    );
     fleet
 }
 
@@ -53,12 +57,12 @@
 fn each_flow_reaches_its_own_service() {
     let fleet = fleet("serves", 1, &["desk", "desk", "vault"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
+    let balancers = fleet.balancers();
 
     for (number, (port, service)) in fleet.routes().into_iter().cycle().take(20).enumerate() {
         let from = 30_000 + u16::try_from(number).expect("few flows");
-        let mut open = client.open(from, port, &through).expect("the flow opens");
-        let outcome = client.request(&mut open, &through, SOON);
+        let mut open = client.open(from, port, &balancers).expect("the flow opens");
+        let outcome = client.request(&mut open, &balancers, SHORT_WAIT);
         assert!(served_by(&outcome, service), "{outcome:?} of {service}");
     }
 }
@@ -66,39 +70,39 @@
 /// Guards against a flow that stalls when its balancer is replaced: its packets reach another
 /// balancer, which has no state of the flow and must find its agent.
 #[test]
-fn a_flow_goes_on_when_its_balancer_stops() {
+fn a_flow_survives_the_stop_of_its_balancer() {
     let mut fleet = fleet("balancer-stops", 2, &["desk", "desk", "desk"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
     let (first, second) = (fleet.balancers()[0], fleet.balancers()[1]);
     let mut open = client.open(30_000, 443, &[first]).expect("the flow opens");
-    let before = client.request(&mut open, &[first], SOON);
+    let before = client.request(&mut open, &[first], SHORT_WAIT);
 
     fleet.signal(first, Signal::Term);
-    let during = client.request(&mut open, &[second], SOON);
-    let ended = fleet.exits_within(first, LATER);
-    let after = client.request(&mut open, &[second], SOON);
+    let during = client.request(&mut open, &[second], SHORT_WAIT);
+    let exited = fleet.exits_within(first, LONG_WAIT);
+    let after = client.request(&mut open, &[second], SHORT_WAIT);
 
     assert!(served_by(&before, "desk"), "{before:?}");
     assert_eq!(during, before, "the flow moved to another backend server");
     assert_eq!(after, before);
-    assert!(ended, "a stopped balancer exits within its grace time");
+    assert!(exited, "a stopped balancer exits within its grace time");
 }
 
 /// Guards against a flow that is reset when its agent is killed and restarted: the new process has
 /// no state of the flow and must query the backend server, which still holds it.
 #[test]
-fn a_flow_goes_on_when_its_agent_is_killed() {
+fn a_flow_survives_the_kill_of_its_agent() {
     let mut fleet = fleet("agent-killed", 3, &["desk"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
+    let balancers = fleet.balancers();
     let agent = fleet.agents()[0];
-    let mut open = client.open(30_000, 443, &through).expect("the flow opens");
-    let before = client.request(&mut open, &through, SOON);
+    let mut open = client.open(30_000, 443, &balancers).expect("the flow opens");
+    let before = client.request(&mut open, &balancers, SHORT_WAIT);
 
     fleet.signal(agent, Signal::Kill);
-    assert!(fleet.exits_within(agent, SOON));
+    assert!(fleet.exits_within(agent, SHORT_WAIT));
     fleet.start(agent);
-    let after = client.request(&mut open, &through, SOON);
+    let after = client.request(&mut open, &balancers, SHORT_WAIT);
 
     assert_eq!(after, before);
 }
@@ -106,15 +110,15 @@
 /// Guards against clients that wait for their timeout after a backend server lost their flow: its
 /// agent receives the bounced packets and must send a reset at once.
 #[test]
-fn a_client_whose_flow_is_lost_is_told() {
+fn a_client_whose_flow_is_lost_gets_a_reset() {
     let fleet = fleet("flow-lost", 4, &["desk"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
-    let mut open = client.open(30_000, 443, &through).expect("the flow opens");
-    client.request(&mut open, &through, SOON);
+    let balancers = fleet.balancers();
+    let mut open = client.open(30_000, 443, &balancers).expect("the flow opens");
+    client.request(&mut open, &balancers, SHORT_WAIT);
 
     fleet.server(fleet.agents()[0]).forget_flows();
-    let outcome = client.request(&mut open, &through, SOON);
+    let outcome = client.request(&mut open, &balancers, SHORT_WAIT);
 
     assert_eq!(outcome, Outcome::Reset);
 }
@@ -123,50 +127,50 @@
 /// and server restart without state, and an idle client sends no packet that would be bounced. The
 /// new agent must send the reset from the list of flows in the store.
 #[test]
-fn a_client_of_a_host_that_lost_power_is_told_though_it_sends_nothing() {
+fn an_idle_client_gets_a_reset_after_its_host_loses_power() {
     let mut fleet = fleet("power", 11, &["desk"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
+    let balancers = fleet.balancers();
     let agent = fleet.agents()[0];
-    let mut open = client.open(30_000, 443, &through).expect("the flow opens");
-    let before = client.request(&mut open, &through, SOON);
-    std::thread::sleep(LATER);
+    let mut open = client.open(30_000, 443, &balancers).expect("the flow opens");
+    let before = client.request(&mut open, &balancers, SHORT_WAIT);
+    std::thread::sleep(LONG_WAIT);
 
     fleet.signal(agent, Signal::Kill);
-    assert!(fleet.exits_within(agent, SOON));
+    assert!(fleet.exits_within(agent, SHORT_WAIT));
     fleet.start_server(agent);
     fleet.start(agent);
-    let told = client.wait_for_outcome(&open, SOON);
+    let outcome = client.wait_for_outcome(&open, SHORT_WAIT);
 
     assert!(served_by(&before, "desk"), "{before:?}");
-    assert_eq!(told, Outcome::Reset);
+    assert_eq!(outcome, Outcome::Reset);
 }
 
 /// Guards against open flows that stall until the store is back, although their servers are alive:
 /// all processes were killed and restarted while it was down, and none has a configuration. Only
 /// new flows have to wait for it.
 #[test]
-fn a_flow_goes_on_when_everything_is_killed_while_the_store_is_down() {
+fn a_flow_survives_when_all_processes_are_killed_while_the_store_is_down() {
     let mut fleet = fleet("all-killed", 13, &["desk", "desk", "vault"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
-    let hosts: Vec<_> = through.iter().copied().chain(fleet.agents()).collect();
-    let mut open = client.open(30_000, 443, &through).expect("the flow opens");
-    let before = client.request(&mut open, &through, SOON);
+    let balancers = fleet.balancers();
+    let hosts: Vec<_> = balancers.iter().copied().chain(fleet.agents()).collect();
+    let mut open = client.open(30_000, 443, &balancers).expect("the flow opens");
+    let before = client.request(&mut open, &balancers, SHORT_WAIT);
 
     fleet.store.set_mode(Mode::Down);
     for host in &hosts {
         fleet.signal(*host, Signal::Kill);
     }
     for host in &hosts {
-        assert!(fleet.exits_within(*host, SOON));
+        assert!(fleet.exits_within(*host, SHORT_WAIT));
         fleet.start(*host);
     }
-    let during = client.request(&mut open, &through, LATER);
-    let refused = client.open(30_001, 443, &through).map(|_| ());
+    let during = client.request(&mut open, &balancers, LONG_WAIT);
+    let refused = client.open(30_001, 443, &balancers).map(|_| ());
     fleet.store.set_mode(Mode::Well);
-    assert!(fleet.is_ready_within(LATER));
-    let opened = client.open(30_002, 443, &through).map(|_| ());
+    assert!(fleet.is_ready_within(LONG_WAIT));
+    let opened = client.open(30_002, 443, &balancers).map(|_| ());
 
     assert!(served_by(&before, "desk"), "{before:?}");
     assert_eq!(during, before);
@@ -181,25 +185,25 @@
 fn new_flows_open_when_all_balancers_are_killed_while_the_store_is_down() {
     let mut fleet = fleet("replicas", 16, &["desk", "vault"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
+    let balancers = fleet.balancers();
     std::thread::sleep(Duration::from_secs(5));
 
     fleet.store.set_mode(Mode::Down);
-    for balancer in &through {
+    for balancer in &balancers {
         fleet.signal(*balancer, Signal::Kill);
-        assert!(fleet.exits_within(*balancer, SOON));
+        assert!(fleet.exits_within(*balancer, SHORT_WAIT));
     }
-    for balancer in &through {
+    for balancer in &balancers {
         fleet.start(*balancer);
     }
-    let ready = fleet.is_ready_within(SOON);
+    let ready = fleet.is_ready_within(SHORT_WAIT);
     let outcomes: Vec<_> = fleet
         .routes()
         .into_iter()
         .zip(30_000..)
         .map(|((port, service), from)| {
-            let mut open = client.open(from, port, &through)?;
-            let outcome = client.request(&mut open, &through, SOON);
+            let mut open = client.open(from, port, &balancers)?;
+            let outcome = client.request(&mut open, &balancers, SHORT_WAIT);
             Ok::<_, Outcome>(served_by(&outcome, service))
         })
         .collect();
@@ -212,22 +216,22 @@
 /// heartbeats from one again: they would be rejected as late until they pass the old count. Its
 /// clients must get a reset at once, and new flows must go to the new incarnation.
 #[test]
-fn a_client_of_a_server_that_is_back_under_its_old_id_is_told() {
+fn a_client_gets_a_reset_when_its_server_restarts_under_the_same_id() {
     let mut fleet = fleet("old-id", 12, &["desk"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
+    let balancers = fleet.balancers();
     let agent = fleet.agents()[0];
-    let mut open = client.open(30_000, 443, &through).expect("the flow opens");
-    let before = client.request(&mut open, &through, SOON);
-    std::thread::sleep(SOON);
+    let mut open = client.open(30_000, 443, &balancers).expect("the flow opens");
+    let before = client.request(&mut open, &balancers, SHORT_WAIT);
+    std::thread::sleep(SHORT_WAIT);
 
     fleet.restart_server(agent);
-    let told = client.wait_for_outcome(&open, SOON);
-    let mut next = client.open(30_001, 443, &through).expect("the flow opens");
-    let after = client.request(&mut next, &through, SOON);
+    let outcome = client.wait_for_outcome(&open, SHORT_WAIT);
+    let mut next = client.open(30_001, 443, &balancers).expect("the flow opens");
+    let after = client.request(&mut next, &balancers, SHORT_WAIT);
 
     assert!(served_by(&before, "desk"), "{before:?}");
-    assert_eq!(told, Outcome::Reset);
+    assert_eq!(outcome, Outcome::Reset);
     assert!(served_by(&after, "desk"), "{after:?}");
     assert_ne!(after, before);
 }
@@ -236,9 +240,9 @@
 fn a_draining_server_keeps_its_flows_and_gets_no_more() {
     let fleet = fleet("drains", 5, &["desk", "desk"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
-    let mut open = client.open(30_000, 443, &through).expect("the flow opens");
-    let Outcome::Answered(id) = client.request(&mut open, &through, SOON) else {
+    let balancers = fleet.balancers();
+    let mut open = client.open(30_000, 443, &balancers).expect("the flow opens");
+    let Outcome::Answered(id) = client.request(&mut open, &balancers, SHORT_WAIT) else {
         panic!("the request is answered");
     };
     let host = fleet.agents().into_iter().find(|ip| fleet.server(*ip).id() == id);
@@ -248,9 +252,9 @@
     std::thread::sleep(Duration::from_millis(900));
     let opened = server.opened();
     for port in 30_001..30_020 {
-        client.open(port, 443, &through).expect("the other server accepts the flow");
+        client.open(port, 443, &balancers).expect("the other server accepts the flow");
     }
-    let after = client.request(&mut open, &through, SOON);
+    let after = client.request(&mut open, &balancers, SHORT_WAIT);
 
     assert_eq!(server.opened(), opened);
     assert_eq!(after, Outcome::Answered(id));
@@ -266,9 +270,9 @@
     fleet.store.set_mode(Mode::Down);
 
     fleet.signal(second, Signal::Kill);
-    assert!(fleet.exits_within(second, SOON));
+    assert!(fleet.exits_within(second, SHORT_WAIT));
     fleet.start(second);
-    let ready = fleet.is_ready_within(LATER);
+    let ready = fleet.is_ready_within(LONG_WAIT);
     let opened = client.open(30_000, 443, &[second]);
 
     assert!(ready, "logs in {:?}", fleet.folder());
@@ -276,46 +280,46 @@
 }
 
 #[test]
-fn a_change_is_in_force_within_a_second_also_after_the_history_is_gone() {
+fn a_change_is_in_force_within_a_second_after_the_store_compacts_its_history() {
     let fleet = fleet("change", 7, &["desk", "vault"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
+    let balancers = fleet.balancers();
 
     fleet.store.compact();
     fleet.configure(2, &[(443, "vault")]);
     std::thread::sleep(Duration::from_secs(1));
-    let mut open = client.open(30_000, 443, &through).expect("the flow opens");
-    let moved = client.request(&mut open, &through, SOON);
-    let dropped = client.open(30_001, 444, &through).map(|_| ());
+    let mut open = client.open(30_000, 443, &balancers).expect("the flow opens");
+    let outcome = client.request(&mut open, &balancers, SHORT_WAIT);
+    let refused = client.open(30_001, 444, &balancers).map(|_| ());
 
-    assert!(served_by(&moved, "vault"), "{moved:?}");
-    assert_eq!(dropped, Err(Outcome::Reset));
+    assert!(served_by(&outcome, "vault"), "{outcome:?}");
+    assert_eq!(refused, Err(Outcome::Reset));
 }
 
 /// Guards against a change that is applied late because all watches wait on stalled connections.
 #[test]
-fn a_change_is_in_force_in_time_though_all_connections_to_the_store_fell_silent() {
+fn a_change_is_in_force_in_time_when_all_store_connections_stall() {
     let fleet = fleet("silent-watch", 18, &["desk", "vault"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
-    std::thread::sleep(SOON);
+    let balancers = fleet.balancers();
+    std::thread::sleep(SHORT_WAIT);
 
     fleet.proxy.silence_open_connections();
     fleet.configure(2, &[(443, "vault")]);
-    std::thread::sleep(IN_FORCE);
-    let mut open = client.open(30_000, 443, &through).expect("the flow opens");
-    let moved = client.request(&mut open, &through, SOON);
+    std::thread::sleep(APPLY_TIME);
+    let mut open = client.open(30_000, 443, &balancers).expect("the flow opens");
+    let outcome = client.request(&mut open, &balancers, SHORT_WAIT);
 
-    assert!(served_by(&moved, "vault"), "{moved:?}");
+    assert!(served_by(&outcome, "vault"), "{outcome:?}");
 }
 
 /// Guards against a change that is missed because the store was restored from an older copy and its
 /// revisions have already passed the one from which the watches continue.
 #[test]
-fn a_change_at_a_revision_that_is_given_out_again_is_in_force() {
+fn a_change_at_a_reused_revision_is_in_force() {
     let fleet = fleet("revision-again", 19, &["desk", "vault"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
+    let balancers = fleet.balancers();
     let snapshot = fleet.store.snapshot();
     fleet.configure(2, &[(443, "desk")]);
     std::thread::sleep(Duration::from_secs(1));
@@ -328,11 +332,11 @@
         fleet.store.put(&format!("other/{number}"), "");
     }
     fleet.store.set_mode(Mode::Well);
-    std::thread::sleep(IN_FORCE);
-    let mut open = client.open(30_000, 443, &through).expect("the flow opens");
-    let moved = client.request(&mut open, &through, SOON);
+    std::thread::sleep(APPLY_TIME);
+    let mut open = client.open(30_000, 443, &balancers).expect("the flow opens");
+    let outcome = client.request(&mut open, &balancers, SHORT_WAIT);
 
-    assert!(served_by(&moved, "vault"), "{moved:?}");
+    assert!(served_by(&outcome, "vault"), "{outcome:?}");
 }
 
 /// Guards against a process that stops answering all callers because one of them does not read its
@@ -341,7 +345,7 @@
 fn a_caller_that_reads_no_answer_does_not_block_others() {
     let fleet = fleet("unread-answers", 20, &["desk"]);
     fleet.configure_large(2);
-    std::thread::sleep(IN_FORCE);
+    std::thread::sleep(APPLY_TIME);
     let address = SocketAddrV4::new(fleet.balancers()[0], fleet.ports.messages());
     let call = format!("GET /configuration HTTP/1.1\r\nHost: {address}\r\n\r\n");
     let mut stalled = TcpStream::connect(address).expect("the balancer listens");
@@ -349,7 +353,7 @@
     std::thread::sleep(Duration::from_millis(500));
 
     let mut caller = TcpStream::connect(address).expect("the balancer listens");
-    caller.set_read_timeout(Some(SOON)).expect("the timeout is set");
+    caller.set_read_timeout(Some(SHORT_WAIT)).expect("the timeout is set");
     caller.write_all(call.as_bytes()).expect("the call is sent");
     let mut status_line = [0; 15];
     let received = caller.read_exact(&mut status_line);
@@ -362,32 +366,32 @@
 /// order must be in force within a second, survive a restart of all processes, and end with its
 /// deletion even if the store drops that part of its history. Open flows must survive.
 #[test]
-fn an_evacuated_domain_gets_no_new_flow_until_it_is_taken_back() {
+fn an_evacuated_domain_gets_no_new_flow_until_the_order_is_deleted() {
     let mut fleet = fleet("evacuated", 14, &["desk", "desk"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
-    let hosts: Vec<_> = through.iter().copied().chain(fleet.agents()).collect();
-    let mut open = client.open(30_000, 443, &through).expect("the flow opens");
-    let before = client.request(&mut open, &through, SOON);
+    let balancers = fleet.balancers();
+    let hosts: Vec<_> = balancers.iter().copied().chain(fleet.agents()).collect();
+    let mut open = client.open(30_000, 443, &balancers).expect("the flow opens");
+    let before = client.request(&mut open, &balancers, SHORT_WAIT);
 
     fleet.evacuate(DOMAIN);
     std::thread::sleep(Duration::from_secs(1));
-    let status = status(&fleet, through[0]);
-    let refused = client.open(30_001, 443, &through).map(|_| ());
-    let during = client.request(&mut open, &through, SOON);
+    let status = status(&fleet, balancers[0]);
+    let refused = client.open(30_001, 443, &balancers).map(|_| ());
+    let during = client.request(&mut open, &balancers, SHORT_WAIT);
     for host in &hosts {
         fleet.signal(*host, Signal::Kill);
-        assert!(fleet.exits_within(*host, SOON));
+        assert!(fleet.exits_within(*host, SHORT_WAIT));
     }
     for host in &hosts {
         fleet.start(*host);
     }
-    assert!(fleet.is_ready_within(LATER));
-    let restarted = client.open(30_002, 443, &through).map(|_| ());
+    assert!(fleet.is_ready_within(LONG_WAIT));
+    let restarted = client.open(30_002, 443, &balancers).map(|_| ());
     fleet.store.compact();
     fleet.cancel_evacuation(DOMAIN);
     std::thread::sleep(Duration::from_secs(1));
-    let opened = client.open(30_003, 443, &through).map(|_| ());
+    let opened = client.open(30_003, 443, &balancers).map(|_| ());
 
     assert!(status.contains(&format!("evacuated      {DOMAIN} (revision ")), "{status}");
     assert_eq!(refused, Err(Outcome::Reset));
@@ -399,10 +403,10 @@
 /// Guards against new flows in an evacuated failure domain, and processes that are not found, after
 /// the store was restored from a copy that is older than the order and the entries of processes.
 #[test]
-fn orders_and_entries_outlive_the_stores_return_from_an_older_copy() {
+fn orders_and_entries_survive_a_restore_of_the_store() {
     let fleet = fleet("store-returns", 17, &["desk", "desk"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
+    let balancers = fleet.balancers();
     let snapshot = fleet.store.snapshot();
     std::thread::sleep(Duration::from_secs(1));
     fleet.evacuate(DOMAIN);
@@ -410,15 +414,15 @@
 
     fleet.store.restore(&snapshot);
     std::thread::sleep(Duration::from_millis(700));
-    let held = client.open(30_000, 443, &through).map(|_| ());
+    let held = client.open(30_000, 443, &balancers).map(|_| ());
     fleet.evacuate(DOMAIN);
-    std::thread::sleep(SOON);
-    let written_again = client.open(30_001, 443, &through).map(|_| ());
+    std::thread::sleep(SHORT_WAIT);
+    let written_again = client.open(30_001, 443, &balancers).map(|_| ());
     let entries = fleet.store.keys("nutmegkeel/balancers/all/");
-    let status = status(&fleet, through[0]);
+    let status = status(&fleet, balancers[0]);
     fleet.cancel_evacuation(DOMAIN);
     std::thread::sleep(Duration::from_secs(1));
-    let taken_back = client.open(30_002, 443, &through).map(|_| ());
+    let taken_back = client.open(30_002, 443, &balancers).map(|_| ());
 
     assert_eq!(held, Err(Outcome::Reset));
     assert_eq!(written_again, Err(Outcome::Reset));
@@ -431,25 +435,25 @@
 /// all new flows. They must get only the rate that the configuration states, and the other flows
 /// must be refused at once instead of timing out.
 #[test]
-fn cold_servers_get_what_they_bear_and_the_rest_is_refused_at_once() {
+fn flows_beyond_the_cold_rate_are_refused_at_once() {
     let fleet = fleet("cold", 15, &["desk", "desk"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
+    let balancers = fleet.balancers();
     let servers: Vec<_> = fleet.agents().into_iter().map(|ip| fleet.server(ip)).collect();
     fleet.configure_cold_rates(2, &[(443, "desk")], &[("desk", 2)]);
     servers.iter().for_each(|server| server.set_cold_ms(60_000));
     std::thread::sleep(Duration::from_secs(1));
 
-    let began = std::time::Instant::now();
+    let start = std::time::Instant::now();
     let outcomes: Vec<_> =
-        (30_000..30_020).map(|port| client.open(port, 443, &through).map(|_| ())).collect();
-    let took = began.elapsed();
+        (30_000..30_020).map(|port| client.open(port, 443, &balancers).map(|_| ())).collect();
+    let elapsed = start.elapsed();
     servers.iter().for_each(|server| server.set_cold_ms(0));
     std::thread::sleep(Duration::from_secs(1));
-    let warm = (30_100..30_120).all(|port| client.open(port, 443, &through).is_ok());
+    let warm = (30_100..30_120).all(|port| client.open(port, 443, &balancers).is_ok());
 
     let opened = outcomes.iter().filter(|outcome| outcome.is_ok()).count();
-    assert!(took < Duration::from_secs(1), "refused at once, not in {took:?}");
+    assert!(elapsed < Duration::from_secs(1), "refused at once, not in {elapsed:?}");
     assert!((1..=4).contains(&opened), "two a second for each of two servers: {outcomes:?}");
     assert!(outcomes.iter().all(|outcome| *outcome != Err(Outcome::Silence)), "{outcomes:?}");
     assert!(warm);
@@ -458,7 +462,7 @@
 /// Guards against a balancer that stays unregistered: the store removed its entry while the lease
 /// is valid, so that renewals succeed. The balancer must check that its entry exists.
 #[test]
-fn an_entry_that_the_store_took_away_is_written_again() {
+fn an_entry_missing_from_the_store_is_written_again() {
     let fleet = fleet("entry", 8, &["desk"]);
     let prefix = "nutmegkeel/balancers/all/";
     std::thread::sleep(Duration::from_secs(7));
@@ -474,10 +478,10 @@
 /// Guards against invalid datagrams that end a process or break a flow, on each UDP socket of
 /// balancers and agents.
 #[test]
-fn garbage_is_counted_and_dropped() {
+fn invalid_datagrams_harm_no_flow() {
     let fleet = fleet("garbage", 9, &["desk"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
-    let through = fleet.balancers();
+    let balancers = fleet.balancers();
     let socket = std::net::UdpSocket::bind((fleet.client(1), 0)).expect("an address is free");
     let ports = [fleet.ports.packets(), fleet.ports.from_server(), fleet.ports.messages()];
     let hosts: Vec<_> = fleet.balancers().into_iter().chain(fleet.agents()).collect();
@@ -490,14 +494,14 @@
         }
     }
 
-    let mut open = client.open(30_000, 443, &through).expect("the flow opens");
-    let outcome = client.request(&mut open, &through, SOON);
+    let mut open = client.open(30_000, 443, &balancers).expect("the flow opens");
+    let outcome = client.request(&mut open, &balancers, SHORT_WAIT);
 
     assert!(served_by(&outcome, "desk"), "{outcome:?}");
 }
 
 #[test]
-fn a_settings_file_that_becomes_wrong_changes_nothing() {
+fn an_invalid_settings_file_is_refused_on_reload() {
     let mut fleet = fleet("settings", 10, &["desk"]);
     let client = Client::bind(fleet.client(0), fleet.ports);
     let balancer = fleet.balancers()[0];
--- a/crates/nutmegkeel/tests/soak.rs
+++ b/crates/nutmegkeel/tests/soak.rs
@@ -15,7 +15,7 @@
     run(&Options { program, seed, seconds: SECONDS, net, load })
 }
 
-fn assert_kept(report: &Report) {
+fn assert_no_violations(report: &Report) {
     assert!(
         report.broken.is_empty(),
         "{:#?} after {:#?}; logs in {:?}",
@@ -30,7 +30,7 @@
 /// and a new balancer reset the flows of an agent that did not know that balancer yet.
 #[test]
 fn seed_6_resets_no_open_flow() {
-    assert_kept(&soak(6, 251));
+    assert_no_violations(&soak(6, 251));
 }
 
 /// Guards against a flow that is answered by two servers that both accepted copies of its opening.
@@ -38,15 +38,15 @@
 /// other. The agent of that server is restarted and has to query it.
 #[test]
 fn seed_21_keeps_each_flow_at_one_server() {
-    assert_kept(&soak(21, 252));
+    assert_no_violations(&soak(21, 252));
 }
 
 /// Guards against a flow that is answered by two servers that both accepted copies of its opening.
 /// The restarted agent of the second queried its server, which accepted the packet because the
 /// sequence numbers of the two servers were close to each other.
 #[test]
-fn seed_38_asks_no_server_for_the_flow_of_another() {
-    assert_kept(&soak(38, 253));
+fn seed_38_attributes_no_flow_to_another_server() {
+    assert_no_violations(&soak(38, 253));
 }
 
 /// Guards against an open flow that is reset although all of its processes work, because its
@@ -54,6 +54,6 @@
 /// and its flows are reset; up to 7.5 times it must be waited for, and every client gets a final
 /// answer.
 #[test]
-fn seed_803_waits_for_a_slow_server_in_a_burst() {
-    assert_kept(&soak_with(803, 254, true));
+fn seed_803_keeps_flows_of_a_slow_server_in_a_burst() {
+    assert_no_violations(&soak_with(803, 254, true));
 }
