--- a/crates/nutmegkeel/src/operator.rs
+++ b/crates/nutmegkeel/src/operator.rs
@@ -72,7 +72,7 @@
     /// The balancer does not have the current configuration, so that it cannot rule the class out.
     #[error("balancer at {0}: it does not know the classes yet; ask again, or another balancer")]
     NotYetKnown(SocketAddr),
-    /// The command was answered, but had no effect or may have had one.
+    /// The balancer answered that the command had no effect, or that it may have had one.
     #[error("{}: {}", .0.verdict.as_str(), .0.message)]
     Ended(Outcome),
 }
