--- a/crates/nutmegkeel/src/run.rs
+++ b/crates/nutmegkeel/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a role until it is told to stop.
+//! Runs a role until a signal stops it, and the checks of settings files.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -16,25 +16,25 @@
 
 use crate::{logging, operator, platform};
 
-/// Time between two looks at the signals.
-const WAKE: Duration = Duration::from_millis(50);
+/// Interval at which the signals are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Exit code for wrong usage: arguments or settings.
 const USAGE: u8 = 2;
-/// Exit code for what was refused or failed before it had any effect.
+/// Exit code for a command that was refused or failed before it had any effect.
 const NOT_RUN: u8 = 3;
 /// Exit code for a command that may have taken effect.
 const MAY_HAVE_RUN: u8 = 4;
-/// Exit code for a query after a class that the balancer does not know, or not yet.
+/// Exit code for a query of a class that the balancer does not know, or not yet.
 const UNKNOWN: u8 = 5;
 
-/// Why a command did not succeed.
+/// Error of a command.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Fault {
     /// The settings are wrong.
     #[error(transparent)]
     Settings(#[from] Faults),
-    /// The settings are those of the other role.
+    /// The settings are those of another role.
     #[error("field `role`: these are the settings of another role")]
     Role,
     /// The balancer could not start.
@@ -55,7 +55,7 @@
     /// The metrics recorder could not be installed.
     #[error("metrics: {0}")]
     Metrics(#[from] metric::Fault),
-    /// A balancer on the platform could not be asked.
+    /// The status of a balancer on the platform could not be queried.
     #[error(transparent)]
     PlatformStatus(#[from] platform::Fault),
     /// An operator's command or query did not succeed.
@@ -85,7 +85,7 @@
     let stop = stop_signal()?;
     let handle = balancer::spawn(&settings, metric::install()?)?;
     while !stop.load(Ordering::Relaxed) && !handle.must_stop() {
-        thread::sleep(WAKE);
+        thread::sleep(POLL_INTERVAL);
     }
     handle.leave();
     Ok(())
@@ -97,17 +97,17 @@
     };
     logging::start();
     let stop = stop_signal()?;
-    let waiting = agent::bind(settings, metric::install()?)?;
-    let Some(handle) = waiting.spawn(|| stop.load(Ordering::Relaxed))? else {
+    let bound = agent::bind(settings, metric::install()?)?;
+    let Some(handle) = bound.spawn(|| stop.load(Ordering::Relaxed))? else {
         return Ok(());
     };
-    let mut told = false;
+    let mut leave_requested = false;
     while !handle.is_over() {
-        if stop.load(Ordering::Relaxed) && !told {
-            told = true;
+        if stop.load(Ordering::Relaxed) && !leave_requested {
+            leave_requested = true;
             handle.leave();
         }
-        thread::sleep(WAKE);
+        thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
@@ -118,7 +118,7 @@
     logging::start();
     let signals = Signals::open()?;
     let mut handle = l4::balancer::spawn(&settings, path, metric::install()?, policy)?;
-    while !signals.stops() {
+    while !signals.must_stop() {
         handle.pause();
         handle.tick(signals.take_reload());
     }
@@ -132,7 +132,7 @@
     logging::start();
     let signals = Signals::open()?;
     let mut handle = l4::agent::spawn(&settings, path, metric::install()?, policy)?;
-    while !signals.stops() {
+    while !signals.must_stop() {
         handle.pause();
         handle.tick(signals.take_reload());
     }
@@ -161,7 +161,7 @@
     Ok(stop)
 }
 
-/// What signals asked for.
+/// Requests that arrived as signals.
 struct Signals {
     stop: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
@@ -174,7 +174,7 @@
         Ok(Self { stop: stop_signal()?, reload })
     }
 
-    fn stops(&self) -> bool {
+    fn must_stop(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
--- a/crates/nutmegkeel_node/src/l4/configuration/watch.rs
+++ b/crates/nutmegkeel_node/src/l4/configuration/watch.rs
@@ -269,7 +269,7 @@
 
 /// Returns what a key holds, if it is needed and understood.
 fn entry(key: &str) -> Option<Entry> {
-    configuration::entry(key).unwrap_or_else(|fault| {
+    configuration::decode_key(key).unwrap_or_else(|fault| {
         warn!(event = "order_unreadable", fault:% = fault;
             "invalid order of evacuation left out, the others stay in force");
         None
