--- a/crates/nutmegkeel_dev/src/soak.rs
+++ b/crates/nutmegkeel_dev/src/soak.rs
@@ -1,4 +1,4 @@
-//! Random runs of the core, and of the real programs, for as long as one likes.
+//! Soak tests: random faults for the simulated core and for the real programs.
 
 pub mod processes;
 
@@ -6,10 +6,10 @@
 
 use nutmegkeel_fake::soak;
 
-/// Faults of one run.
+/// Number of faults injected in one run.
 const FAULTS: usize = 60;
 
-/// Runs one seed after the other for `minutes`; true when no promise was broken.
+/// Runs consecutive seeds for `minutes`; returns true when no invariant was violated.
 pub fn run(first_seed: u64, minutes: u64) -> bool {
     let began = Instant::now();
     let mut seed = first_seed;
@@ -23,22 +23,22 @@
         }
         seed += 1;
     }
-    println!("{} runs of {FAULTS} faults each, no promise broken", seed - first_seed);
+    println!("{} runs of {FAULTS} faults each, no invariant violated", seed - first_seed);
     true
 }
 
-/// Runs of the real programs that go on at once: each has ten processes.
+/// Number of concurrent runs of the real programs; each has ten processes.
 const AT_ONCE: u64 = 6;
 
-/// Networks on loopback that runs take in turn: stand-ins keep their addresses until the end. Those below
-/// and above are the tests', which may run at the same time: a process of a run that finds its port of metrics
-/// taken ends at once.
+/// Loopback networks that runs use in turn, since stand-ins keep their addresses until the end.
+/// Networks outside this range belong to the tests, which may run at the same time: a process whose
+/// metrics port is taken exits at once.
 const NETS: std::ops::Range<u64> = 20..250;
 
-/// Runs `count` seeds of the real programs; true when no promise was broken.
+/// Runs `count` seeds of the real programs; returns true when no invariant was violated.
 ///
 /// # Errors
-/// When the program is not where it is expected.
+/// When the path of the running program is unknown, or a run panics.
 pub fn run_processes(first_seed: u64, count: u64, seconds: u64) -> std::io::Result<bool> {
     let program = processes::program_beside()?;
     let mut good = true;
@@ -54,7 +54,7 @@
             })
             .collect();
         for run in runs {
-            let report = run.join().map_err(|_| std::io::Error::other("a run failed itself"))?;
+            let report = run.join().map_err(|_| std::io::Error::other("a soak run panicked"))?;
             good &= print(&report);
         }
         seed = until;
@@ -69,7 +69,7 @@
 
 fn print(report: &processes::Report) -> bool {
     println!(
-        "seed {}: {} answered, {} not, {} faults, {} promises broken",
+        "seed {}: {} answered, {} unanswered, {} faults, {} invariant violations",
         report.seed,
         report.answered,
         report.unanswered,
@@ -77,7 +77,7 @@
         report.broken.len()
     );
     for broken in &report.broken {
-        println!("  broken: {broken}");
+        println!("  violated: {broken}");
     }
     if report.broken.is_empty() {
         return true;
--- a/crates/nutmegkeel_dev/src/soak/processes.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes.rs
@@ -1,5 +1,5 @@
-//! Random faults for the real programs: balancers and agents as separate processes against the
-//! stand-ins, with signals, a harmed store and changes in series, while clients use their flows.
+//! Soak test of the real programs: balancers and agents run as separate processes against the
+//! stand-ins, with signals, store faults and configuration changes, while clients use their flows.
 
 mod caller;
 mod chaos;
@@ -20,53 +20,53 @@
 use load::Load;
 use truth::Truth;
 
-/// First port of every run; runs that go on at once differ in their addresses.
+/// First port of every run; concurrent runs differ in their addresses.
 const PORT: u16 = 22_000;
 
-/// Clients of a run; each has one long flow and opens short ones.
+/// Number of usual clients of a run; each keeps one long flow and opens short ones.
 const CLIENTS: u8 = 4;
 
-/// The heavy caller's number among the clients, if the run has one.
+/// Index of the heavy caller among the clients, if the run has one.
 const HEAVY: u8 = CLIENTS;
 
-/// The number of the client that asks when all is over.
+/// Index of the client that checks recovery after the last fault.
 const LAST: u8 = CLIENTS + 1;
 
-/// Time for all processes to be ready at the start, and to recover at the end.
+/// Time limit for all processes to become ready at the start, and for a killed process to exit.
 const SETTLE: Duration = Duration::from_secs(10);
 
-/// What the deployment of a run with faults of load says of itself.
+/// Conditions in the settings of a run with load faults.
 const CONDITIONS: [Condition; 2] = [Condition::Contention, Condition::HiddenFaults];
 
-/// One run.
+/// Options of one run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program.
+    /// Path of the program under test.
     pub program: PathBuf,
     /// Seed of the faults.
     pub seed: u64,
-    /// How long faults come, in seconds.
+    /// Duration of fault injection, in seconds.
     pub seconds: u64,
-    /// Third byte of the addresses.
+    /// Third byte of the loopback addresses.
     pub net: u8,
-    /// Whether faults of load come too: bursts, a heavy caller, slow servers.
+    /// Whether load faults are injected too: bursts, a heavy caller and slow servers.
     pub load: bool,
 }
 
-/// What one run saw.
+/// Result of one run.
 #[derive(Clone, Debug)]
 pub struct Report {
     /// The seed.
     pub seed: u64,
-    /// Requests that were answered.
+    /// Number of requests that were answered.
     pub answered: u64,
-    /// Requests that were not.
+    /// Number of requests that were not answered.
     pub unanswered: u64,
-    /// Promises that were broken, with what led there.
+    /// Invariants that were violated.
     pub broken: Vec<String>,
-    /// Faults in order, each with its second.
+    /// Injected faults in order, each with its time in seconds.
     pub faults: Vec<String>,
-    /// Where settings and logs are.
+    /// Directory of the settings and logs.
     pub folder: PathBuf,
 }
 
@@ -102,7 +102,7 @@
     load.end();
     for client in clients {
         if client.join().is_err() {
-            truth.break_promise("a client of the soak itself failed".to_owned());
+            truth.break_promise("a client of the soak test panicked".to_owned());
         }
     }
     let faults = chaos.check_recovery();
@@ -129,10 +129,10 @@
     (0..clients).map(spawn).collect()
 }
 
-/// The program beside the running one.
+/// Returns the path of the `nutmegkeel` program in the directory of the running program.
 ///
 /// # Errors
-/// When the running program's own path is not known.
+/// When the path of the running program is unknown.
 pub fn program_beside() -> std::io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     Ok(own.parent().unwrap_or_else(|| Path::new(".")).join("nutmegkeel"))
--- a/crates/nutmegkeel_dev/src/soak/processes/caller.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/caller.rs
@@ -1,4 +1,4 @@
-//! One client of a run: a long flow and short ones by turns, or many short ones at once.
+//! Client of a soak run: alternates between a long flow and short ones, or opens many at once.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -11,39 +11,38 @@
 use super::load::Load;
 use super::truth::{Seen, Truth};
 
-/// Pause of a client between two rounds: four clients then send some hundred requests a second, and
-/// leave the processor to the processes under test.
+/// Pause of a client between two rounds. Four clients then send a few hundred requests a second and
+/// leave processor time to the processes under test.
 const BREATH: Duration = Duration::from_millis(10);
 
 /// First port of a client.
 const FIRST_PORT: u16 = 30_000;
 
-/// The second request on a short flow is only begun: its flow is left with it on its way.
+/// Time limit for the second request on a short flow, short enough to abandon it in progress.
 const BEGUN: Duration = Duration::from_millis(50);
 
-/// Time for an answer in a run without load of its own.
+/// Time limit for an answer in a run without load faults.
 const PATIENCE: Duration = Duration::from_secs(2);
 
-/// Time for a final answer: the deadline of the route, and some for a busy host.
+/// Time limit for a final answer: the deadline of the route plus a margin for a busy host.
 const FINAL: Duration = Duration::from_millis(TIMEOUT_MS + 250);
 
-/// Flows that a client of usual demand has at once in a burst: four of them fill the slots of three servers
-/// twice.
+/// Concurrent flows of a usual client in a burst; four clients fill the slots of three servers twice.
 const BURST_FLOWS: u16 = 8;
 
-/// Flows that the heavy caller has at once, where others have two.
+/// Concurrent flows of the heavy caller, where other clients have two.
 const HEAVY_FLOWS: u16 = 24;
 
-/// How much a client asks for.
+/// Load that a client generates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Demand {
-    /// A flow at a time, with pauses, but for bursts.
+    /// One short flow at a time with pauses, except in bursts.
     Usual,
-    /// Many flows at once without a pause, while the run wants a heavy caller.
+    /// Many flows at once without a pause, while the heavy caller is active.
     Heavy,
 }
 
-/// A client at work.
+/// A running client.
 pub(super) struct Caller {
     client: Client,
     balancers: Vec<Ipv4Addr>,
@@ -53,7 +52,7 @@
     next_port: u16,
 }
 
-/// A flow that a caller keeps.
+/// A flow that a client keeps open.
 struct Long {
     open: Open,
     port: u16,
@@ -93,7 +92,7 @@
         }
     }
 
-    /// Opens a short flow and uses the long one; returns the long one if it is still good.
+    /// Opens a short flow and uses the long one; returns the long one if it is still usable.
     fn round(&mut self, port: u16, long: Option<Long>) -> Option<Long> {
         let Some((mut open, holder)) = self.open_and_ask(port) else { return long };
         let Some(mut kept) = long else { return Some(Long { open, port, holder }) };
@@ -123,8 +122,10 @@
         }
     }
 
-    /// Opens so many flows at the same time and sends a request on each. A caller who got nothing pauses:
-    /// where no route is in force, refusals come at once, and asking on would only keep the processor busy.
+    /// Opens `flows` flows at the same time and sends a request on each.
+    ///
+    /// Pauses if no request was answered: without a route in force refusals come at once, and an
+    /// immediate retry would only use processor time.
     fn ask_at_once(&mut self, flows: u16, port: u16) {
         let first = self.take_ports(flows);
         let sent = Instant::now();
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Sends a request on the long flow; true if the flow is still good.
+    /// Sends a request on the long flow; returns whether the flow is still usable.
     fn use_long(&self, long: &mut Long) -> bool {
         let (port, holder) = (long.port, long.holder.as_str());
         let sent = Instant::now();
@@ -164,7 +165,7 @@
         }
     }
 
-    /// A request was not answered: it was refused, or nothing came.
+    /// Records a request that was refused or got no answer.
     fn lost(&self, port: u16, sent: Instant, outcome: &Outcome) {
         if self.load.is_varied() && *outcome == Outcome::Silence {
             self.truth.silent(port, sent);
--- a/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
@@ -1,4 +1,4 @@
-//! The faults of one run.
+//! Fault injection of one soak run.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -19,26 +19,26 @@
 /// Ports of the two classes of requests.
 const PORTS: [u16; 2] = [443, 444];
 
-/// Kinds of faults, and the number of them that change load rather than processes.
+/// Number of fault kinds without load, and of load fault kinds.
 const FAULTS: i32 = 11;
 const LOAD_FAULTS: i32 = 4;
 
-/// Time that a slow server takes for an answer, in milliseconds, where the others answer at once: up to twice the
-/// objective. Its open flows must live on.
+/// Response time of a slow server, in milliseconds, where others respond at once. The range ends at
+/// twice the objective; open flows at the server must survive it.
 const SLOW_MS: std::ops::RangeInclusive<u64> = 50..=510;
 
-/// Time under load at the end, when no process is disturbed any more.
+/// Duration of the final load phase, in which no process is disturbed.
 const LOADED: Duration = Duration::from_secs(4);
 
-/// Time after the last fault within which everything must work again.
+/// Time after the last fault within which the system must recover.
 const RECOVERY: Duration = Duration::from_secs(6);
 
-/// Makes the faults.
+/// Injects the faults of a run.
 pub(super) struct Chaos {
     rng: StdRng,
     began: Instant,
     version: u64,
-    /// Processes that stand still.
+    /// Hosts whose process is suspended.
     stopped: Vec<Ipv4Addr>,
     faults: Vec<String>,
     fleet: Fleet,
@@ -47,7 +47,7 @@
 }
 
 impl Chaos {
-    /// The faults of a seed, once the fleet is ready.
+    /// Creates the fault injector of a seed once the fleet is ready.
     pub(super) fn open(seed: u64, fleet: Fleet, truth: Arc<Truth>, load: Arc<Load>) -> Self {
         if !fleet.is_ready_within(SETTLE) {
             truth.break_promise("the fleet was not ready at the start".to_owned());
@@ -113,7 +113,8 @@
         self.restart(host, signal);
     }
 
-    /// A planned stop disturbs nobody; everything else does.
+    /// Restarts the process of a host. Records a disturbance unless it is a graceful stop of a process
+    /// that was not suspended.
     fn restart(&mut self, host: Ipv4Addr, signal: Signal) {
         let stood = self.stopped.contains(&host);
         if signal == Signal::Kill || stood {
@@ -125,7 +126,7 @@
         }
         self.fleet.signal(host, signal);
         if !self.fleet.ended(host, Duration::from_secs(8)) {
-            self.truth.break_promise(format!("{host} did not end within its grace"));
+            self.truth.break_promise(format!("{host} did not exit within its grace period"));
             self.fleet.signal(host, Signal::Kill);
             self.fleet.ended(host, SETTLE);
         }
@@ -135,7 +136,7 @@
     fn freeze(&mut self) {
         let hosts = [self.fleet.balancers(), self.fleet.agents()].concat();
         let host = self.pick(&hosts);
-        self.note(format!("{host} stands still"));
+        self.note(format!("{host} is suspended"));
         self.truth.disturb(host);
         self.fleet.signal(host, Signal::Stop);
         self.stopped.push(host);
@@ -143,7 +144,7 @@
 
     fn wake(&mut self) {
         for host in std::mem::take(&mut self.stopped) {
-            self.note(format!("{host} goes on"));
+            self.note(format!("{host} resumes"));
             self.truth.disturb(host);
             self.fleet.signal(host, Signal::Continue);
         }
@@ -169,7 +170,7 @@
         self.truth.store_is_well(way == Way::Pass);
     }
 
-    /// Moves a route to another service, drops one, or brings all back.
+    /// Swaps the services of the two routes, removes one route, or restores the initial routes.
     fn change(&mut self) {
         let routes = match self.rng.random_range(0..3) {
             0 => vec![(443, "vault"), (444, "desk")],
@@ -206,11 +207,11 @@
     fn reload(&mut self) {
         let hosts = [self.fleet.balancers(), self.fleet.agents()].concat();
         let host = self.pick(&hosts);
-        self.note(format!("{host} reads its settings"));
+        self.note(format!("{host} reloads its settings"));
         self.fleet.signal(host, Signal::Reload);
     }
 
-    /// Begins a burst of one class of requests, or ends the one there is.
+    /// Starts a burst of one class of requests, or ends the current one.
     fn burst(&mut self) {
         let port = PORTS[self.rng.random_range(0..PORTS.len())];
         let burst = self.load.burst().is_none().then_some(port);
@@ -224,11 +225,11 @@
         self.load.set_heavy(heavy);
     }
 
-    /// Makes a server slow whose heartbeats go on as before.
+    /// Slows down the answers of a server without affecting its heartbeats.
     fn slow_down(&mut self) {
         let host = self.pick(&self.fleet.agents());
         let answer_ms = self.rng.random_range(SLOW_MS);
-        self.note(format!("{} takes {answer_ms} ms", self.fleet.server(host).id()));
+        self.note(format!("{} responds after {answer_ms} ms", self.fleet.server(host).id()));
         self.fleet.server(host).answer_after(answer_ms);
     }
 
@@ -251,8 +252,8 @@
         self.speed_up();
     }
 
-    /// A time in which only load is at its worst: whoever is left without a final answer now was
-    /// forgotten, and not cut.
+    /// Applies all load faults while no process is disturbed: a request without a final answer was then
+    /// lost by the system and not by a fault.
     pub(super) fn press(&mut self) {
         self.change_heavy();
         self.burst();
@@ -271,7 +272,7 @@
         self.truth.store_is_well(true);
         self.configure(&[(443, "vault"), (444, "desk")]);
         thread::sleep(IN_FORCE);
-        // Guards against a change that is applied late because all watches wait on silent connections.
+        // Guards against a late change: watches that wait on silent connections must not delay it.
         self.note("open connections to the store: silent".to_owned());
         self.fleet.proxy.silence_open_connections();
         self.configure(&[(443, "desk"), (444, "vault")]);
@@ -279,8 +280,8 @@
         thread::sleep(RECOVERY);
     }
 
-    /// After the faults every request must be answered, by the right service, through any balancer,
-    /// and no process may have ended by itself. Returns the faults.
+    /// Checks that after the faults the right service answers every request through any balancer, and
+    /// that no process has exited by itself. Returns the faults.
     pub(super) fn check_recovery(mut self) -> Vec<String> {
         let asker = self.fleet.client(LAST);
         let client = Client::bind(asker, self.fleet.ports);
@@ -297,14 +298,14 @@
             match outcome {
                 Outcome::Answered(id) => self.truth.answered(asker, port, &id, sent),
                 other => self.truth.break_promise(format!(
-                    "after the faults a request to port {port} through {} came to {other:?}",
+                    "after the faults a request to port {port} through {} ended in {other:?}",
                     through[0]
                 )),
             }
         }
         for host in [balancers, self.fleet.agents()].concat() {
             if self.fleet.ended(host, Duration::ZERO) {
-                self.truth.break_promise(format!("the process of {host} ended by itself"));
+                self.truth.break_promise(format!("the process of {host} exited by itself"));
             }
         }
         self.faults
--- a/crates/nutmegkeel_dev/src/soak/processes/load.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/load.rs
@@ -1,11 +1,11 @@
-//! How much the callers of a run ask for at the moment.
+//! Current load of a soak run, shared by its clients.
 
 use std::sync::atomic::{AtomicBool, AtomicU16, Ordering};
 
-/// A burst that is over.
+/// Stored instead of a port while there is no burst.
 const NONE: u16 = 0;
 
-/// What callers look at before each round.
+/// Load settings that clients read before each round.
 #[derive(Debug, Default)]
 pub(super) struct Load {
     varies: bool,
@@ -19,12 +19,12 @@
         Self { varies, ..Self::default() }
     }
 
-    /// Whether load is one of the run's faults: then callers have a deadline and close their flows.
+    /// Returns whether the run has load faults; clients then have a deadline and close their flows.
     pub(super) const fn is_varied(&self) -> bool {
         self.varies
     }
 
-    /// Whether callers are to end.
+    /// Returns whether clients must stop.
     pub(super) fn is_over(&self) -> bool {
         self.over.load(Ordering::Relaxed)
     }
@@ -33,7 +33,7 @@
         self.over.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the heavy caller is at work.
+    /// Returns whether the heavy caller is active.
     pub(super) fn is_heavy(&self) -> bool {
         self.heavy.load(Ordering::Relaxed)
     }
@@ -42,7 +42,7 @@
         self.heavy.store(heavy, Ordering::Relaxed);
     }
 
-    /// The port of the one class of requests that all callers ask for, as fast as they can.
+    /// Returns the port that all clients request as fast as they can, if there is a burst.
     pub(super) fn burst(&self) -> Option<u16> {
         Some(self.burst.load(Ordering::Relaxed)).filter(|port| *port != NONE)
     }
--- a/crates/nutmegkeel_dev/src/soak/processes/truth.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/truth.rs
@@ -1,4 +1,4 @@
-//! What the soak knows to be true, and the promises it checks against it.
+//! Expected state of a soak run, and the invariants that are checked against it.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -7,31 +7,31 @@
 
 use nutmegkeel_standin::host::CONFIG_APPLY_MS;
 
-/// A change must be in force within this; so long an earlier one may still show.
+/// Time within which a change must be in force; an earlier configuration may apply until then.
 pub(super) const IN_FORCE: Duration = Duration::from_millis(CONFIG_APPLY_MS);
 
-/// A host that was disturbed is calm again after this.
+/// Time after which a disturbed host counts as recovered.
 const CALM: Duration = Duration::from_secs(6);
 
-/// A server that drains gets no new flow later than this.
+/// Time after which a draining server must get no new flow.
 const DRAINED: Duration = Duration::from_millis(1_500);
 
-/// What a client saw of its long flow.
+/// What a client observed on its long flow.
 pub(super) enum Seen<'a> {
-    /// A request on it was answered by a server, or the flow was reset.
+    /// A server answered a request on the flow, or the flow was reset.
     Long {
-        /// The port that it was opened to.
+        /// Destination port of the flow.
         port: u16,
-        /// The server that holds it.
+        /// Server that holds the flow.
         holder: &'a str,
-        /// The server that answered; none if the flow was reset.
+        /// Server that answered, or none if the flow was reset.
         answered_by: Option<&'a str>,
     },
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// Routes with the time from which they hold.
+    /// Configured routes, each set with the time of its change.
     routes: Vec<(Instant, BTreeMap<u16, String>)>,
     disturbed: BTreeMap<Ipv4Addr, Instant>,
     drained: BTreeMap<String, (Instant, Ipv4Addr)>,
@@ -40,12 +40,12 @@
     store_well: bool,
     answered: u64,
     unanswered: u64,
-    /// Answers of each caller.
+    /// Number of answers to each client.
     served: BTreeMap<Ipv4Addr, u64>,
     broken: Vec<String>,
 }
 
-/// The truth of one run.
+/// Checks the invariants of one run.
 #[derive(Debug)]
 pub(super) struct Truth {
     state: Mutex<State>,
@@ -94,7 +94,7 @@
         self.state().broken.push(what);
     }
 
-    /// A request on a new flow, opened at `sent`, was answered by the server `id`.
+    /// Records that the server `id` answered a request on a new flow that was opened at `sent`.
     pub(super) fn answered(&self, caller: Ipv4Addr, port: u16, id: &str, sent: Instant) {
         let mut state = self.state();
         state.answered += 1;
@@ -107,11 +107,11 @@
             && sent > since + DRAINED
             && !state.is_disturbed(host)
         {
-            state.broken.push(format!("{id} drains and got a new flow"));
+            state.broken.push(format!("{id} got a new flow while draining"));
         }
     }
 
-    /// Judges what a client saw of its long flow.
+    /// Checks what a client observed on its long flow.
     pub(super) fn judge(&self, seen: &Seen<'_>) {
         let Seen::Long { port, holder, answered_by } = seen;
         let mut state = self.state();
@@ -126,17 +126,17 @@
         }
     }
 
-    /// A request at `sent` found neither an answer nor a refusal until its deadline.
+    /// Records a request, sent at `sent`, without an answer or a refusal by its deadline.
     pub(super) fn silent(&self, port: u16, sent: Instant) {
         let mut state = self.state();
         state.unanswered += 1;
         if state.was_calm(port, sent) {
-            let what = format!("a request to port {port} had no final answer, and nobody was cut");
+            let what = format!("a request to port {port} got no final answer without a fault");
             state.broken.push(what);
         }
     }
 
-    /// Expects that a caller is served at least once.
+    /// Registers a client that must get at least one answer.
     pub(super) fn expect(&self, caller: Ipv4Addr) {
         self.state().served.insert(caller, 0);
     }
@@ -155,8 +155,8 @@
 }
 
 impl State {
-    /// Whether a configuration that may have been in force when the flow was opened sends the port to
-    /// the server's service. While the store is ill an old one may stay in force.
+    /// Returns whether a configuration that may have been in force when the flow was opened routes the
+    /// port to the server's service. While the store is disturbed an earlier one may stay in force.
     fn allows(&self, port: u16, id: &str, sent: Instant) -> bool {
         let store_calm = self.store_well && self.store_ill.is_none_or(|at| at.elapsed() > CALM);
         let count = self.routes.len();
@@ -168,8 +168,8 @@
         })
     }
 
-    /// Whether an open flow may have been reset: its server is gone, its host was disturbed, or its
-    /// route was dropped.
+    /// Returns whether an open flow may have been reset: its server has ended, a host was disturbed, or
+    /// its route was removed.
     fn may_reset(&self, port: u16, holder: &str) -> bool {
         let dropped = self
             .routes
@@ -182,8 +182,8 @@
         dropped || self.ended.contains_key(holder) || any_disturbed
     }
 
-    /// Whether nothing could have cut a request at `sent`: no process or server was disturbed for a while
-    /// before, nor since, the store is well, and the route stands.
+    /// Returns whether no fault could have affected a request sent at `sent`: from [`CALM`] before it
+    /// until now no process, server or store was disturbed, and the route was in force.
     fn was_calm(&self, port: u16, sent: Instant) -> bool {
         let is_past = |at: &Instant| *at + CALM <= sent;
         let routed = self
--- a/crates/nutmegkeel_fake/src/lib.rs
+++ b/crates/nutmegkeel_fake/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small fakes at the core's interfaces: a network between peers, and a key-value service.
+//! In-memory fakes for the interfaces of the core: a network of peers and a key-value service.
 
 pub mod fleet;
 pub mod soak;
--- a/crates/nutmegkeel_fake/src/soak.rs
+++ b/crates/nutmegkeel_fake/src/soak.rs
@@ -1,4 +1,4 @@
-//! Long random runs of a fleet under faults in any mixture, with what must hold checked all along.
+//! Randomized fault-injection runs of a simulated fleet, with invariants checked throughout.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,40 +15,40 @@
 
 const BALANCERS: u16 = 4;
 const AGENTS: u16 = 12;
-/// Time for a fleet to find itself, in milliseconds.
+/// Time for all members of a new fleet to discover each other, in milliseconds.
 const FORM_MS: u64 = 15_000;
-/// After the last fault everybody agrees within so long, in milliseconds.
+/// Time after the last fault within which all members must agree, in milliseconds.
 const HEAL_MS: u64 = 40_000;
-/// A process that was in trouble may be given up for so long afterwards, in milliseconds.
+/// Time after a fault at a process in which others may still declare it dead, in milliseconds.
 const TROUBLE_MS: u64 = 30_000;
 
-/// One fault, or its end.
+/// A fault, or the end of one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process dies, and a later run starts in its place after some time.
+    /// The process is killed; [`Fault::Restart`] may start a later run.
     Kill(SocketAddr),
-    /// A later run of a dead process starts.
+    /// A later run of a killed process starts.
     Restart(SocketAddr),
-    /// The process freezes.
+    /// The process is suspended.
     Freeze(SocketAddr),
-    /// It wakes.
+    /// A suspended process resumes.
     Thaw(SocketAddr),
-    /// A failure domain is cut off.
+    /// A network partition separates these processes, all of one failure domain, from all others.
     Cut(Vec<SocketAddr>),
-    /// The cut heals.
+    /// The network partition ends.
     Heal,
-    /// So many percent of all messages are lost.
+    /// The network loses this percentage of all messages.
     Loss(u32),
-    /// An operator's change comes in at a balancer.
+    /// An operator's change with this revision reaches one process.
     Change(SocketAddr, u64),
 }
 
-/// A promise that was broken, with all that happened before.
+/// A violated invariant, with the faults that were injected before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Broken {
-    /// The promise.
+    /// Description of the violation.
     pub promise: String,
-    /// When each fault came, in milliseconds.
+    /// Injected faults, each with its time in milliseconds.
     pub record: Vec<(u64, Fault)>,
 }
 
@@ -64,10 +64,10 @@
     seen: usize,
 }
 
-/// Runs one fleet through `faults` random faults.
+/// Runs a simulated fleet through `faults` random faults.
 ///
 /// # Errors
-/// The first promise that was broken, with the record of faults that led to it.
+/// The first invariant that was violated, with the faults that led to it.
 pub fn run(seed: u64, faults: usize) -> Result<(), Broken> {
     let mut run = Run::open(seed);
     run.pass(FORM_MS)?;
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Lets time pass in small steps and checks after each.
+    /// Advances time in small steps and checks the invariants after each.
     fn pass(&mut self, millis: u64) -> Result<(), Broken> {
         const STEP_MS: u64 = 250;
         let until = self.fleet.now.after(millis);
@@ -201,7 +201,8 @@
         Ok(())
     }
 
-    /// Nobody is given up who was not in trouble, unless by somebody who is cut off.
+    /// Checks that only recently disturbed processes are declared dead. Observers inside a partition
+    /// may declare any process dead.
     fn check_deaths(&mut self) -> Result<(), Broken> {
         let now = self.fleet.now;
         let excused = |address: &SocketAddr| {
@@ -213,30 +214,31 @@
             .iter()
             .find(|(observer, gone)| !excused(gone) && !self.fleet.island.contains(observer));
         if let Some((observer, gone)) = wrong {
-            return Err(self.broken(format!("{observer} gave up {gone}, which was well")));
+            return Err(self.broken(format!("{observer} declared {gone} dead, which was healthy")));
         }
         self.seen = self.fleet.gone.len();
         Ok(())
     }
 
-    /// No configuration ever reverts.
+    /// Checks that no process returns to an earlier configuration.
     fn check_revisions(&mut self) -> Result<(), Broken> {
         for (address, peer) in &self.fleet.peers {
             let revision = peer.book().revision();
             let before = self.revisions.insert(*address, revision).unwrap_or_default();
             if revision < before {
                 return Err(
-                    self.broken(format!("{address} went back from {before:?} to {revision:?}"))
+                    self.broken(format!("{address} reverted from {before:?} to {revision:?}"))
                 );
             }
         }
         Ok(())
     }
 
-    /// Everybody knows everybody, and the newest change that anybody holds is in force everywhere.
+    /// Checks that every process lists every other one, and that all have the newest configuration
+    /// that any of them has.
     fn check_agreement(&self) -> Result<(), Broken> {
         if !self.fleet.knows_all() {
-            return Err(self.broken("not everybody knows everybody".to_owned()));
+            return Err(self.broken("membership is incomplete".to_owned()));
         }
         let revisions = self.fleet.peers.values().map(|peer| peer.book().revision());
         let newest = revisions.clone().max().unwrap_or_default();
--- a/crates/nutmegkeel_fake/src/store.rs
+++ b/crates/nutmegkeel_fake/src/store.rs
@@ -1,4 +1,4 @@
-//! A key-value service in memory that can be down, lose answers, or let a rival write first.
+//! In-memory key-value service that can fail calls, lose answers or let another client write first.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,18 +9,18 @@
     Committed, Fault, Image, Kept, Lease, Pair, Registry, Store, Watched, Write,
 };
 
-/// How one call goes.
+/// Outcome of one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It is answered.
+    /// The call succeeds.
     Answered,
-    /// It does not reach the service.
+    /// The call is not sent, and the client knows it.
     NotSent,
-    /// It reaches the service, and the answer is lost.
+    /// The call takes effect, but its answer is lost.
     AnswerLost,
-    /// It is lost on its way, and the client cannot tell.
+    /// The call is lost in transit; to the client this looks like a lost answer.
     CallLost,
-    /// A rival's value is written just before it.
+    /// Another client writes this key and value just before the call.
     AfterRival(String, Vec<u8>),
 }
 
@@ -34,33 +34,33 @@
     era: Era,
 }
 
-/// The fake. Calls meet the given fates in order, and all later ones are answered.
+/// In-memory key-value service. Calls have the given outcomes in order; all later ones succeed.
 #[derive(Debug, Default)]
 pub struct Memory {
     state: Mutex<State>,
 }
 
 impl Memory {
-    /// An empty service whose next calls meet these fates.
+    /// Creates an empty service whose next calls have these outcomes.
     #[must_use]
     pub fn open(mut fates: Vec<Fate>) -> Self {
         fates.reverse();
         Self { state: Mutex::new(State { fates, ..State::default() }) }
     }
 
-    /// Writes that took effect.
+    /// Returns the number of writes that took effect.
     #[must_use]
     pub fn writes(&self) -> u64 {
         self.state().writes
     }
 
-    /// Calls so far, whatever became of them.
+    /// Returns the number of calls so far, including failed ones.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// Lets the next calls meet these fates.
+    /// Sets the outcomes of the next calls.
     pub fn set_fates(&self, mut fates: Vec<Fate>) {
         fates.reverse();
         self.state().fates = fates;
@@ -135,7 +135,7 @@
     }
 }
 
-/// The fake with leases, which can be made to end.
+/// In-memory key-value service with leases that tests can end.
 #[derive(Debug)]
 pub struct Leased {
     memory: Memory,
@@ -144,36 +144,36 @@
 }
 
 impl Leased {
-    /// An empty service whose next calls meet these fates.
+    /// Creates an empty service whose next calls have these outcomes.
     #[must_use]
     pub fn open(fates: Vec<Fate>) -> Self {
         Self { memory: Memory::open(fates), kept: Mutex::new(Kept::Renewed), grants: Mutex::new(0) }
     }
 
-    /// Lets the next calls meet these fates.
+    /// Sets the outcomes of the next calls.
     pub fn set_fates(&self, fates: Vec<Fate>) {
         self.memory.set_fates(fates);
     }
 
-    /// What renewals find from now on.
+    /// Sets the result of all later lease renewals.
     pub fn set_kept(&self, kept: Kept) {
         *lock(&self.kept) = kept;
     }
 
-    /// Writes that took effect.
+    /// Returns the number of writes that took effect.
     #[must_use]
     pub fn writes(&self) -> u64 {
         self.memory.writes()
     }
 
-    /// Calls so far, but for renewals.
+    /// Returns the number of calls so far, excluding lease renewals.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.memory.calls()
     }
 
-    /// Comes back from a copy that it made when only `keys` were written, each with its value: all else is gone, and
-    /// revisions are counted on from there.
+    /// Restores the service from a backup that holds only `keys`, each with its value. All other keys
+    /// are lost, a new era begins, and revisions start over.
     pub fn restore(&self, keys: &[(&str, &[u8])]) {
         let mut state = self.memory.state();
         state.era.0 += 1;
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Leases granted.
+    /// Returns the number of leases granted.
     #[must_use]
     pub fn grants(&self) -> u64 {
         *lock(&self.grants)
