--- a/crates/nutmegkeel_dev/src/demo.rs
+++ b/crates/nutmegkeel_dev/src/demo.rs
@@ -1,4 +1,4 @@
-//! The whole system on loopback, under stops, kills and a drain, judged by its surroundings.
+//! Demo of the whole system on loopback under stops, kills and a drain, checked by the stand-ins.
 
 pub(crate) mod bench;
 pub(crate) mod calls;
@@ -10,16 +10,17 @@
 use bench::Bench;
 use calls::Calls;
 
-/// What the user of the demo may choose.
+/// Options of the demo.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// How long the callers call, in seconds.
+    /// Duration of the callers' load, in seconds.
     pub seconds: u64,
     /// Whether to keep everything running afterwards.
     pub keep: bool,
 }
 
-/// Runs the demo; true when no flow broke, nothing reached a wrong desk and nothing ran twice.
+/// Runs the demo; returns true when no flow broke, no request reached a wrong class and none ran
+/// twice.
 ///
 /// # Errors
 /// When a process cannot be started or does not come up.
@@ -29,14 +30,14 @@
     let runtime = tokio::runtime::Runtime::new()?;
     let certificate = bench.certificate();
     runtime.block_on(calls::wait_until_served(certificate.clone(), &bench.classes()))?;
-    println!("both classes are served; callers begin");
+    println!("both classes are served; starting callers");
 
     let length = Duration::from_secs(options.seconds);
     let calls = Calls::begin(&runtime, certificate, bench.classes(), length);
     let began = Instant::now();
     let step = length / 8;
     pause(began, step);
-    println!("{:>6.1}s stopping balancer 1 in a planned way", began.elapsed().as_secs_f64());
+    println!("{:>6.1}s stopping balancer 1 gracefully", began.elapsed().as_secs_f64());
     bench.stop_balancer(0);
     pause(began, step * 2);
     println!("{:>6.1}s killing balancer 2", began.elapsed().as_secs_f64());
@@ -64,11 +65,11 @@
     bench.set_platform("up")?;
 
     let results = calls.end(&runtime);
-    println!("{:>6.1}s callers are done", began.elapsed().as_secs_f64());
+    println!("{:>6.1}s callers have finished", began.elapsed().as_secs_f64());
     let drained_ended = bench.agent_ended(&drained);
-    println!("the drained agent ended by itself: {drained_ended}");
+    println!("the drained agent exited cleanly: {drained_ended}");
     let stopped_ended = bench.balancer_ended(0);
-    println!("the stopped balancer ended by itself: {stopped_ended}");
+    println!("the stopped balancer exited cleanly: {stopped_ended}");
     let records = bench.records();
     let counters = bench.counters();
     let passed =
--- a/crates/nutmegkeel_dev/src/demo/bench.rs
+++ b/crates/nutmegkeel_dev/src/demo/bench.rs
@@ -20,26 +20,26 @@
 use crate::standin::backend::{self, Records};
 use crate::standin::fabric;
 
-/// Balancers of the demo, the one that starts later included.
+/// Number of balancers, including the one that starts later.
 const BALANCERS: usize = 4;
-/// Balancers that run from the start.
+/// Number of balancers that run from the start.
 const FIRST_BALANCERS: usize = 3;
-/// Backend servers of each class.
+/// Number of backend servers of each class.
 const SERVERS: usize = 3;
 /// Classes of the demo.
 pub(crate) const CLASSES: [&str; 2] = ["intake", "feeds"];
-/// Failure domains, in turn.
+/// Failure domains, assigned in turn.
 const DOMAINS: [&str; 3] = ["osu", "kaneshie", "tema"];
-/// Slots and connections of a backend server (brief, "Sizes of today").
+/// Slots and connections of a backend server, as in the specified deployment.
 const SLOTS: u32 = 7;
 const CONNECTIONS: u32 = 2_000;
 /// Time that a short request takes at a backend server, in milliseconds.
 const SERVICE_MS: u64 = 3;
-/// A change is in force everywhere by then (brief, "within seconds").
+/// Time limit for a change to be in force on all balancers, which is required within seconds.
 const SETTLE_WITHIN: Duration = Duration::from_secs(10);
-/// Exit code of the product when a balancer does not know the class that was asked for.
+/// Exit code of the product when a balancer does not know the requested class.
 const NOT_KNOWN: i32 = 5;
-/// A planned end takes no longer.
+/// Time limit for a process to exit after a graceful stop or a drain.
 const END_WITHIN: Duration = Duration::from_secs(15);
 
 /// A class and its public address.
@@ -64,7 +64,7 @@
     process: Option<Process>,
 }
 
-/// Everything that runs, in one directory of its own.
+/// All processes of the demo, with their settings and logs in one temporary directory.
 pub(crate) struct Bench {
     directory: PathBuf,
     product: PathBuf,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Addresses that all processes share.
+/// Addresses and files that all processes share.
 struct Shared {
     platform: String,
     join: SocketAddr,
@@ -97,7 +97,7 @@
 }
 
 impl Bench {
-    /// Builds the product and starts everything but the last balancer.
+    /// Builds the product and starts all processes except the last balancer.
     pub(crate) fn open() -> io::Result<Self> {
         let product = build_product()?;
         let tool = std::env::current_exe()?;
@@ -154,13 +154,13 @@
         self.classes.clone()
     }
 
-    /// Number of processes that were started.
+    /// Returns the number of processes that were started.
     pub(crate) fn processes(&self) -> usize {
         let balancers = self.balancers.iter().filter(|balancer| balancer.process.is_some()).count();
         balancers + 2 * self.servers.len() + self.surroundings.len()
     }
 
-    /// The keys of all processes.
+    /// Returns the keys that all processes share.
     pub(crate) fn keys(&self) -> io::Result<Ring> {
         let text = fs::read_to_string(self.directory.join("keys.json"))?;
         let keys: Value = serde_json::from_str(&text)?;
@@ -168,14 +168,17 @@
         Ring::open(&BTreeMap::from([(1, key)]), 1).map_err(io::Error::other)
     }
 
-    /// First class address, frame address and process number of a balancer.
+    /// Returns the first class address, the frame address and the process id of a balancer.
     pub(crate) fn balancer(&self, index: usize) -> io::Result<(SocketAddr, SocketAddr, u32)> {
         let balancer = &self.balancers[index];
-        let process = balancer.process.as_ref().ok_or_else(|| io::Error::other("not started"))?;
+        let process = balancer
+            .process
+            .as_ref()
+            .ok_or_else(|| io::Error::other("the balancer was not started"))?;
         Ok((balancer.desk, balancer.frames, process.id()))
     }
 
-    /// Number of processes that are the product's own.
+    /// Returns the number of balancers and agents that were started.
     pub(crate) fn product_processes(&self) -> usize {
         self.processes() - self.servers.len() - self.surroundings.len()
     }
@@ -206,7 +209,7 @@
         process.is_some_and(|process| process.ended_within(END_WITHIN))
     }
 
-    /// Asks the server that holds the feed to drain and returns its name.
+    /// Drains the server that holds the feed and returns its name.
     pub(crate) fn drain_server_with_open_feed(&self) -> io::Result<String> {
         let holder = self
             .servers
@@ -235,7 +238,7 @@
         self.servers.iter().filter_map(|server| records_of(server.address).ok()).collect()
     }
 
-    /// Counters of all processes that run, added up by name and labels.
+    /// Returns the metrics of all running processes, summed by name and labels.
     pub(crate) fn counters(&self) -> BTreeMap<String, f64> {
         let mut sums = BTreeMap::new();
         for web in &self.webs {
@@ -252,8 +255,8 @@
         sums
     }
 
-    /// Changes a class by the product's own command, takes the platform away at once, and returns
-    /// how long it took until every running balancer says that the change is in force.
+    /// Changes a class with the product's own command, stops the platform at once, and returns the time
+    /// until every running balancer reports that the change is in force.
     pub(crate) fn change_class_then_lose_platform(&mut self) -> io::Result<Duration> {
         let running: Vec<SocketAddr> = self.running_balancers();
         let first = *running.first().ok_or_else(|| io::Error::other("no balancer runs"))?;
@@ -275,7 +278,7 @@
         Ok(if is_changed { Shown::InForce } else { Shown::Earlier })
     }
 
-    /// Changes how the platform stand-in behaves.
+    /// Sets the mode of the platform stand-in.
     pub(crate) fn set_platform(&self, mode: &str) -> io::Result<()> {
         let url = format!("{}/control", self.platform);
         ureq::post(url).send_json(mode).map(drop).map_err(io::Error::other)
@@ -291,7 +294,7 @@
         running
     }
 
-    /// Runs one of the product's commands against a balancer and returns what it printed.
+    /// Runs one of the product's commands against a balancer and returns its output.
     fn operate(&self, at: SocketAddr, words: &[&str]) -> io::Result<String> {
         output_of(&words.join(" "), &self.run_command(at, words)?)
     }
@@ -307,7 +310,7 @@
             .output()
     }
 
-    /// How to reach what runs, for somebody who wants to try commands on it.
+    /// Returns a `status` command line for each started balancer.
     pub(crate) fn directions(&self) -> String {
         let token = self.directory.join("token");
         let running = self.balancers.iter().filter(|balancer| balancer.process.is_some());
@@ -385,7 +388,7 @@
     Ok((balancers, listed))
 }
 
-/// What a command printed, if it did what it was asked.
+/// Returns the standard output of a command, or its error output as an error if it failed.
 fn output_of(command: &str, ran: &Output) -> io::Result<String> {
     if !ran.status.success() {
         let said = String::from_utf8_lossy(&ran.stderr);
@@ -415,7 +418,7 @@
     let beside = tool.parent().map(|directory| directory.join("nutmegkeel"));
     beside
         .filter(|path| path.exists())
-        .ok_or_else(|| io::Error::other("no product beside the tool"))
+        .ok_or_else(|| io::Error::other("the product is not in the directory of this tool"))
 }
 
 fn make_certificate() -> io::Result<(rcgen::Certificate, String)> {
--- a/crates/nutmegkeel_dev/src/demo/calls.rs
+++ b/crates/nutmegkeel_dev/src/demo/calls.rs
@@ -1,4 +1,4 @@
-//! What the callers of the demo do, and what they saw.
+//! Callers of the demo and their results.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -18,24 +18,24 @@
 use crate::caller::{Answer, Call, Caller, Fault, Flow};
 use crate::standin::backend::line;
 
-/// Callers of each class that open one short flow after the other.
+/// Number of callers of each class that open one short flow after another.
 const CALLERS: usize = 12;
-/// Pause of a caller between two flows.
+/// Pause of a caller between two flows, and before a retry without advice from the system.
 const BETWEEN: Duration = Duration::from_millis(40);
 /// Parts of the download: 64 MiB.
 const DOWNLOAD_PARTS: usize = 1_024;
 /// Time between two lines of the feed, in milliseconds.
 const LINE_EVERY_MS: u64 = 100;
-/// Both classes are served by then, or the demo has failed.
+/// Time limit for both classes to be served.
 const SERVED_WITHIN: Duration = Duration::from_secs(20);
-/// A refused caller gives up after so many tries.
+/// Maximum number of attempts for one call.
 const TRIES: usize = 6;
-/// Highest time that the histograms hold, in microseconds.
+/// Highest latency that the histograms record, in microseconds.
 const MOST_US: u64 = 60_000_000;
 
 static NEXT: AtomicU64 = AtomicU64::new(1);
 
-/// What the callers of one class saw.
+/// Results of the callers of one class.
 #[derive(Debug)]
 pub(crate) struct Seen {
     pub(crate) calls: u64,
@@ -78,7 +78,7 @@
         self.broken += other.broken;
         self.faults.extend(other.faults);
         self.filed.extend(other.filed);
-        // Both were made with the same bounds.
+        // Adding cannot fail, since both histograms have the same bounds.
         let _ = self.times.add(other.times);
         self.longest_silence = self.longest_silence.max(other.longest_silence);
     }
@@ -94,16 +94,16 @@
     }
 }
 
-/// What all callers saw, by class.
+/// Results of all callers, by class.
 pub(crate) type Results = BTreeMap<&'static str, Seen>;
 
-/// Callers at work.
+/// Running callers.
 pub(crate) struct Calls {
     tasks: JoinSet<(&'static str, Seen)>,
 }
 
 impl Calls {
-    /// Sets the callers to work for `length`.
+    /// Starts the callers, which run for `length`.
     pub(crate) fn begin(
         runtime: &Runtime,
         certificate: CertificateDer<'static>,
@@ -125,7 +125,7 @@
         Self { tasks }
     }
 
-    /// Waits until the callers are done.
+    /// Waits for all callers and returns their results.
     pub(crate) fn end(mut self, runtime: &Runtime) -> Results {
         runtime.block_on(async {
             let mut results = Results::new();
@@ -139,7 +139,7 @@
     }
 }
 
-/// Returns once a status check is answered in every class.
+/// Waits until a status check is answered in every class.
 pub(crate) async fn wait_until_served(
     certificate: CertificateDer<'static>,
     classes: &[Class],
@@ -184,7 +184,7 @@
     }
 }
 
-/// One short flow after the other: a status check, a filing, a status check.
+/// Opens one short flow after another, each with a status check, a filing and a status check.
 async fn call_often(
     class: Class,
     certificate: CertificateDer<'static>,
@@ -238,8 +238,8 @@
     open(caller, class, seen).await.unwrap_or(Held(None))
 }
 
-/// Carries one call to its end, as a patient caller would: a request that surely did not run is
-/// sent again when the system says, on a new flow if the old one is ending.
+/// Makes one call with retries: a request that certainly did not run is sent again after the delay
+/// that the system advises, on a new flow if the old one is closing.
 async fn settle(
     caller: &Caller,
     class: &Class,
@@ -271,7 +271,7 @@
             }
         }
     }
-    seen.faults.push(format!("gave up on {}", call.path));
+    seen.faults.push(format!("retries exhausted: {}", call.path));
     Some(held)
 }
 
@@ -323,7 +323,7 @@
     (class.name, seen)
 }
 
-/// One long answer on a flow of its own.
+/// Makes one call with a long answer on a flow of its own.
 async fn follow(
     class: &Class,
     certificate: CertificateDer<'static>,
--- a/crates/nutmegkeel_dev/src/demo/report.rs
+++ b/crates/nutmegkeel_dev/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! The demo's table and its last JSON line.
+//! Result table and final JSON line of the demo.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,7 +17,10 @@
     most_busy: u32,
 }
 
-/// Prints what callers and backend servers saw; true when nothing was broken, misled or doubled.
+/// Prints the results of callers and backend servers.
+///
+/// Returns true when every class was served, no flow broke, no request reached a wrong class or ran
+/// twice, and every answered filing was recorded.
 pub(super) fn print(
     results: &Results,
     records: &[Records],
--- a/crates/nutmegkeel_dev/src/demo/settling.rs
+++ b/crates/nutmegkeel_dev/src/demo/settling.rs
@@ -1,29 +1,28 @@
-//! Whether an operator's change is in force on every balancer within its settling time.
+//! Waits for an operator's change to be in force on every balancer within its settling time.
 
 use std::io;
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Pause between two rounds of questions.
+/// Interval between two rounds of queries.
 const PAUSE: Duration = Duration::from_millis(20);
 
-/// What a balancer shows of a changed class.
+/// State of a changed class at a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shown {
-    /// The change.
+    /// The change is in force.
     InForce,
-    /// The class as it was before.
+    /// The balancer has the class as it was before the change.
     Earlier,
-    /// No such class.
+    /// The balancer does not know the class.
     NotKnown,
 }
 
-/// Asks all balancers in rounds until each shows the change, and returns how long that took since
-/// `began`.
+/// Polls all balancers until each reports the change, and returns the time since `began`.
 ///
 /// # Errors
-/// When a balancer does not answer, or one does not show the change within the settling time.
+/// When a balancer does not answer, or does not report the change within the settling time.
 pub fn wait(
     began: Instant,
     within: Duration,
@@ -38,7 +37,9 @@
         }
         if took >= within {
             let late: Vec<_> = balancers.iter().zip(shown).collect();
-            return Err(io::Error::other(format!("not in force everywhere: {late:?}")));
+            return Err(io::Error::other(format!(
+                "change not in force on all balancers: {late:?}"
+            )));
         }
         thread::sleep(PAUSE);
     }
--- a/crates/nutmegkeel_dev/src/measure.rs
+++ b/crates/nutmegkeel_dev/src/measure.rs
@@ -1,7 +1,7 @@
-//! Measurements: each prints a table and, last, one JSON line.
+//! Measurements: each prints a table and a final JSON line.
 //!
-//! All but `path`, `forward` and `silence` drive the core in-process over small fakes; for a seed they print the same
-//! figures on every run, but for processor times.
+//! All except `path`, `forward` and `silence` drive the core in-process over fakes. Their figures are
+//! the same on every run with the same seed, except for processor times.
 
 pub mod capacity;
 pub mod configuration;
@@ -19,36 +19,36 @@
 
 use serde_json::{Map, Value};
 
-/// What can be measured.
+/// A measurement.
 #[derive(Clone, Debug)]
 pub enum Measurement {
-    /// What the system adds to a call; so many flows.
+    /// Latency that the system adds to a call, over this number of flows.
     Path(u64),
-    /// What a balancer spends on a packet.
+    /// Processor time of a balancer per packet.
     Forward,
-    /// How long callers of a killed agent hear nothing.
+    /// Time until callers of a killed agent detect it.
     Silence,
     /// Placement of new flows against baselines.
     Routing,
-    /// Goodput under overload against no limit.
+    /// Goodput under overload, with admission control and without a limit.
     Limits,
-    /// Runs beyond one, and what claims cost.
+    /// Duplicate runs of keyed requests, and the cost of claims.
     Retries,
-    /// Detection of a death and control traffic.
+    /// Time to detect a dead process, and control traffic.
     Membership,
-    /// Time until a change is in force everywhere.
+    /// Time until a change is in force on all balancers.
     Configuration,
-    /// Last new flow at a leaving agent.
+    /// Time of the last new flow at a leaving agent.
     Leaving,
-    /// Time to place and to look for a flow without a routing token.
+    /// Processor time to place a flow and to search for one without a routing token.
     Finding,
-    /// Slopes for docs/CAPACITY.md.
+    /// Cost per member, agent and class, for docs/CAPACITY.md.
     Capacity,
-    /// One point of them.
+    /// One data point of the capacity measurement.
     CapacityPoint(capacity::Point),
 }
 
-/// Runs a measurement; true when its aim was met.
+/// Runs a measurement; returns true when its aim was met.
 ///
 /// # Errors
 /// When a process cannot be started or does not come up.
@@ -69,7 +69,7 @@
     })
 }
 
-/// Prints the last line of a measurement.
+/// Prints the final JSON line of a measurement.
 fn print_line(line: Map<String, Value>) {
     println!("{}", Value::Object(line));
 }
--- a/crates/nutmegkeel_dev/src/measure/capacity.rs
+++ b/crates/nutmegkeel_dev/src/measure/capacity.rs
@@ -1,4 +1,5 @@
-//! Slopes for docs/CAPACITY.md: what one process spends against the number of what it knows.
+//! Memory and processor time of one process by the number of members, agents and classes that it
+//! knows, for docs/CAPACITY.md.
 
 use std::hint::black_box;
 use std::io;
@@ -15,30 +16,30 @@
 use nutmegkeel_fake::fleet::{agent, balancer};
 use serde_json::{Map, Value, json};
 
-/// Members known to one process.
+/// Numbers of members known to one process.
 const MEMBERS: [u32; 4] = [2_000, 10_000, 50_000, 200_000];
-/// Agents of one class.
+/// Numbers of agents of one class.
 const AGENTS: [u32; 4] = [10, 100, 1_000, 10_000];
-/// Classes, one address each.
+/// Numbers of classes, with one address each.
 const CLASSES: [u32; 4] = [1_000, 8_000, 30_000, 71_000];
-/// Ticks over which the cost of watching is taken.
+/// Number of ticks over which the time of one is averaged.
 const TICKS: u64 = 200;
-/// Placements over which the cost of one is taken.
+/// Number of placements over which the time of one is averaged.
 const PLACEMENTS: u64 = 2_000;
 
-/// One point of a slope, measured in a process of its own so that its memory starts empty.
+/// One data point, measured in a process of its own so that earlier points do not use its memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Point {
-    /// So many members known to one process.
+    /// This number of members known to one process.
     Members(u32),
-    /// So many agents in one class.
+    /// This number of agents in one class.
     Agents(u32),
-    /// So many classes.
+    /// This number of classes.
     Classes(u32),
 }
 
 impl Point {
-    /// The point called `name`, such as `members`.
+    /// Returns the point called `name`, such as `members`.
     #[must_use]
     pub fn of(name: &str, count: u32) -> Option<Self> {
         match name {
@@ -50,7 +51,7 @@
     }
 }
 
-/// Runs the measurement; it has no aim of its own.
+/// Runs the measurement, which has no aim and always passes.
 ///
 /// # Errors
 /// When a point's process cannot be started.
@@ -145,7 +146,7 @@
     began.elapsed().as_secs_f64() * 1_000_000.0 / count as f64
 }
 
-/// Memory of this process in use, in bytes, as the kernel counts it.
+/// Returns the resident memory of this process as the kernel reports it, in bytes.
 fn resident_bytes() -> u64 {
     const PAGE: u64 = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/nutmegkeel_dev/src/measure/configuration.rs
+++ b/crates/nutmegkeel_dev/src/measure/configuration.rs
@@ -1,4 +1,4 @@
-//! Time until an accepted change is in force on all of 200 balancers, the platform being down.
+//! Time until an accepted change is in force on all of 200 balancers while the platform is down.
 
 use nutmegkeel_core::class::Target;
 use nutmegkeel_core::configuration::{Entry, Revision};
@@ -8,13 +8,13 @@
 const BALANCERS: u16 = 200;
 const FORM_MS: u64 = 15_000;
 const LONGEST_MS: u64 = 30_000;
-/// Changes measured at each loss.
+/// Number of changes measured at each rate of message loss.
 const CHANGES: u64 = 10;
-/// The aims: without loss, and with a tenth of all messages lost, in milliseconds.
+/// Rates of message loss in percent, each with the aim for the slowest change in milliseconds.
 const AIMS: [(u32, u64); 2] = [(0, 3_000), (10, 12_000)];
 const SEED: u64 = 1;
 
-/// Runs the measurement; true when the aims were met.
+/// Runs the measurement; returns true when the aims were met.
 pub(super) fn run() -> bool {
     println!("{:>6} {:>12} {:>12} {:>8}", "loss", "median ms", "slowest ms", "aim ms");
     let mut line = Map::new();
--- a/crates/nutmegkeel_dev/src/measure/finding.rs
+++ b/crates/nutmegkeel_dev/src/measure/finding.rs
@@ -1,5 +1,5 @@
-//! Processor time to place and to look for a flow without a routing token, and to compare failure domains, against
-//! the size of the fleet.
+//! Processor time to place a flow, to search for one without a routing token, and to compare failure
+//! domains, by the size of the fleet.
 
 use std::collections::BTreeSet;
 use std::hint::black_box;
@@ -16,25 +16,26 @@
 use nutmegkeel_core::placement::Key;
 use serde_json::{Map, Value, json};
 
-/// Agents that a balancer knows.
+/// Numbers of agents that a balancer knows.
 const AGENTS: [u32; 3] = [100, 1_000, 10_000];
 
-/// Agents of one service in a fleet of many; two services in all are measured besides.
+/// Number of agents per service in a fleet of many services; a fleet of two is measured too.
 const MEMBERS: u32 = 10;
 
-/// Failure domains that the agents are spread over.
+/// Number of failure domains over which the agents are distributed.
 const DOMAINS: u32 = 5;
 
-/// Flows over which the time of one is taken.
+/// Number of flows over which the time of one is averaged.
 const FLOWS: u16 = 2_000;
 
-/// Pause between two comparisons of failure domains, in milliseconds.
+/// Interval between two comparisons of failure domains, in milliseconds.
 const COMPARE_MS: u64 = 100;
 
-/// Comparisons over which the time of one is taken: after more, agents count as late.
+/// Number of comparisons over which the time of one is averaged. After more of them agents would
+/// count as late.
 const COMPARISONS: u64 = 5;
 
-/// Runs the measurement; it has no aim of its own.
+/// Runs the measurement, which has no aim and always passes.
 pub(super) fn run() -> bool {
     let mut line = Map::new();
     for agents in AGENTS {
@@ -59,7 +60,8 @@
     true
 }
 
-/// Time to place a flow of a service of 200 agents that are all full: the longest way of a decision.
+/// Measures the time to place a flow when all 200 agents of its service are full, the most expensive
+/// case.
 fn room_us() -> Value {
     let pool = pool(200, 1);
     let choose_us = choose_us(&pool);
@@ -130,7 +132,8 @@
     began.elapsed().as_secs_f64() * 1e6 / f64::from(FLOWS)
 }
 
-/// A flow that must run once, from a client in the first failure domain.
+/// Returns the requirements of a flow of kind [`Kind::Once`], from a client in the first failure
+/// domain.
 fn need(key: Key) -> Need<'static> {
     static ANYWHERE: BTreeSet<Arc<str>> = BTreeSet::new();
     let (kind, domain) = (Kind::Once, "domain-0");
--- a/crates/nutmegkeel_dev/src/measure/forward.rs
+++ b/crates/nutmegkeel_dev/src/measure/forward.rs
@@ -1,4 +1,4 @@
-//! What a balancer spends on each packet of an open flow, against a plain UDP relay.
+//! Processor time of a balancer per packet of an open flow, compared with a plain UDP relay.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -21,13 +21,13 @@
 
 /// Length of a caller's packet, in bytes.
 const PACKET: usize = 1_200;
-/// Packets on their way at once at most; fits a socket's buffer.
+/// Maximum number of packets in flight; they fit in a socket's buffer.
 const WINDOW: u64 = 64;
-/// Length of one run.
+/// Duration of one run.
 const LENGTH: Duration = Duration::from_secs(3);
-/// Runs of each way, taken in turn; the median counts.
+/// Number of runs of each path, which alternate; the median is reported.
 const RUNS: usize = 3;
-/// Kernel clock ticks in a second, as `/proc` counts processor time.
+/// Kernel clock ticks per second, the unit of processor time in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 struct Result {
@@ -35,7 +35,7 @@
     cpu_us: f64,
 }
 
-/// Runs the measurement; it has no aim but the ratio to the relay.
+/// Runs the measurement, which reports the ratio to the relay, has no aim and always passes.
 ///
 /// # Errors
 /// When the system does not come up.
@@ -83,7 +83,7 @@
     pump(from, &[0x40; PACKET], &target, relay.id())
 }
 
-/// A caller's packets through the balancer to an agent.
+/// Measures packets from a caller through the balancer to an agent.
 fn inbound(keys: &Ring, desk: SocketAddr, balancer: u32) -> io::Result<Result> {
     let target = receiver()?;
     let hop = Hop { address: target.local_addr()?, instance: Instance::new(u32::MAX) };
@@ -93,7 +93,7 @@
     pump(desk, &packet, &target, balancer)
 }
 
-/// An agent's frames through the balancer to a caller.
+/// Measures frames from an agent through the balancer to a caller.
 fn outbound(keys: &Ring, frames: SocketAddr, balancer: u32) -> io::Result<Result> {
     let target = receiver()?;
     let outbound = Outbound {
@@ -115,7 +115,7 @@
     Ok(socket)
 }
 
-/// Sends the same datagram again and again, never more than a window ahead of the receiver.
+/// Sends the same datagram repeatedly, at most [`WINDOW`] datagrams ahead of the receiver.
 fn pump(to: SocketAddr, datagram: &[u8], target: &UdpSocket, process: u32) -> io::Result<Result> {
     let received = Arc::new(AtomicU64::new(0));
     let over = Arc::new(AtomicBool::new(false));
@@ -141,7 +141,7 @@
             sent += 1;
             stuck_since = Instant::now();
         } else if stuck_since.elapsed() > Duration::from_millis(100) {
-            // Lost packets must not close the window for good.
+            // Lost packets must not close the window permanently.
             sent = received.load(Ordering::Relaxed);
         } else {
             std::hint::spin_loop();
@@ -154,7 +154,7 @@
     Ok(Result { per_second: count / LENGTH.as_secs_f64(), cpu_us: cpu * 1_000_000.0 / count })
 }
 
-/// Processor time that a process has spent, in seconds.
+/// Returns the processor time that a process has used, in seconds.
 fn cpu_seconds(process: u32) -> f64 {
     const USER: usize = 11;
     const SYSTEM: usize = 12;
--- a/crates/nutmegkeel_dev/src/measure/leaving.rs
+++ b/crates/nutmegkeel_dev/src/measure/leaving.rs
@@ -1,4 +1,4 @@
-//! When the last new flow reaches a leaving agent, with balancers that hear of it up to 5 s apart.
+//! Time of the last new flow at a leaving agent, when balancers learn of its leaving up to 5 s apart.
 
 use nutmegkeel_core::agent::{Action, Agent, Event, Opening};
 use nutmegkeel_core::clock::Time;
@@ -13,17 +13,17 @@
 
 const AGENTS: u16 = 7;
 const BALANCERS: u64 = 3;
-/// The balancers hear of the leaving so far apart, in milliseconds.
+/// Time between the first and the last balancer that learns of the leaving, in milliseconds.
 const APART_MS: u64 = 5_000;
 const LEAVES_AT_MS: u64 = 5_000;
 const LENGTH_MS: u64 = 15_000;
-/// New flows in each millisecond.
+/// New flows per millisecond.
 const FLOWS_PER_MS: u64 = 2;
-/// The aim, in milliseconds after the leaving.
+/// Aim for the last new flow, in milliseconds after the agent starts to leave.
 const AIM_MS: u64 = 2_000;
 const SEED: u64 = 1;
 
-/// Runs the measurement; true when the aim was met.
+/// Runs the measurement; returns true when the aim was met.
 pub(super) fn run() -> bool {
     println!("{:<28} {:>20} {:>12}", "way", "last new flow ms", "passed on");
     let mut line = Map::new();
@@ -51,7 +51,8 @@
     agent
 }
 
-/// Milliseconds from the leaving to the last flow that the agent took, and how many it passed on.
+/// Returns the time from the leaving to the last flow that the agent accepted, in milliseconds, and
+/// the number of flows that it passed on.
 fn measure(agent_decides: bool) -> (u64, u64) {
     let mut rng = SmallRng::seed_from_u64(SEED);
     let mut agent = serving();
--- a/crates/nutmegkeel_dev/src/measure/limits.rs
+++ b/crates/nutmegkeel_dev/src/measure/limits.rs
@@ -1,4 +1,4 @@
-//! Goodput of one backend server under overload, with the gate and with no limit at all.
+//! Goodput of one backend server under overload, with the admission gate and without a limit.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +8,18 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Map, json};
 
-/// Slots of the backend server (brief, "Sizes of today").
+/// Slots of the backend server, as in the specified deployment.
 const SLOTS: u32 = 7;
-/// Time that a request takes when it has a slot to itself, in milliseconds.
+/// Mean time that a request takes in a slot of its own, in milliseconds.
 const SERVICE_MS: u64 = 20;
-/// Requests per second that seven slots can answer.
+/// Requests per second that all slots can answer.
 const CAPACITY: u64 = SLOTS as u64 * 1_000 / SERVICE_MS;
 /// Deadline of each request, in milliseconds.
 const DEADLINE_MS: u64 = 200;
 const LENGTH_MS: u64 = 20_000;
 /// Offered load in tenths of the capacity.
 const LOADS: [u64; 4] = [5, 10, 20, 50];
-/// The aim: goodput at five times capacity over that at capacity.
+/// Aim for the ratio of goodput at five times capacity to goodput at capacity.
 const AIM: f64 = 0.95;
 const SEED: u64 = 1;
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Runs the measurement; true when the aim was met.
+/// Runs the measurement; returns true when the aim was met.
 pub(super) fn run() -> bool {
     println!(
         "{:<8} {:<8} {:>10} {:>10} {:>10} {:>12} {:>16}",
@@ -75,7 +75,7 @@
     kept >= AIM
 }
 
-/// Arrivals of one millisecond.
+/// Draws the number of arrivals in one millisecond.
 fn arrivals(rng: &mut SmallRng, tenths: u64) -> u64 {
     let per_ms = CAPACITY as f64 * tenths as f64 / 10.0 / 1_000.0;
     let whole = per_ms.floor();
@@ -121,7 +121,7 @@
     result
 }
 
-/// A server that takes everything at once and shares itself among what it took.
+/// Simulates a server that starts every request on arrival and shares its capacity among them.
 fn unlimited(tenths: u64) -> Result {
     let mut rng = SmallRng::seed_from_u64(SEED);
     let mut result = Result::default();
--- a/crates/nutmegkeel_dev/src/measure/membership.rs
+++ b/crates/nutmegkeel_dev/src/measure/membership.rs
@@ -1,4 +1,4 @@
-//! Time until a death is known to all, and control traffic, against the number of processes.
+//! Time until all processes have detected a death, and control traffic, by the number of processes.
 
 use std::time::Instant;
 
@@ -6,17 +6,17 @@
 use serde_json::{Map, json};
 
 const SIZES: [u16; 4] = [50, 100, 200, 400];
-/// Time for a fleet to find itself, in milliseconds.
+/// Time for all members of a new fleet to discover each other, in milliseconds.
 const FORM_MS: u64 = 15_000;
-/// Length of the quiet time over which traffic is counted, in milliseconds.
+/// Length of the period without faults over which traffic is counted, in milliseconds.
 const QUIET_MS: u64 = 20_000;
-/// A death is known by then, or the measurement says that it is not, in milliseconds.
+/// Time limit for the detection of a death, in milliseconds; reported if detection takes longer.
 const KNOWN_WITHIN_MS: u64 = 30_000;
-/// The aim: control traffic at 200 processes, bytes per second and process.
+/// Aim for control traffic at 200 processes, in bytes per second and process.
 const AIM_BYTES: f64 = 3_000.0;
 const SEED: u64 = 1;
 
-/// What a fleet of one size costs.
+/// Cost of a fleet of one size.
 pub(super) struct Cost {
     pub(super) processes: u16,
     pub(super) bytes_per_second: f64,
@@ -24,7 +24,7 @@
     pub(super) known_after_ms: u64,
 }
 
-/// Runs the measurement; true when the aim was met.
+/// Runs the measurement; returns true when the aim was met.
 pub(super) fn run() -> bool {
     println!("{:>9} {:>14} {:>10} {:>16}", "processes", "bytes/s each", "cpu %", "death known ms");
     let mut line = Map::new();
@@ -46,7 +46,7 @@
     met
 }
 
-/// Forms a fleet, lets it be quiet, and kills one process.
+/// Forms a fleet, counts its traffic without faults, and then kills one process.
 pub(super) fn measure(size: u16) -> Cost {
     let balancers = size / 10;
     let agents = (balancers..size).map(|number| agent(number, "intake"));
--- a/crates/nutmegkeel_dev/src/measure/path.rs
+++ b/crates/nutmegkeel_dev/src/measure/path.rs
@@ -1,4 +1,4 @@
-//! What the system adds to one call, and what it spends on it.
+//! Latency of calls through the system, and its control traffic.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -10,14 +10,14 @@
 use crate::demo::bench::Bench;
 use crate::demo::calls;
 
-/// Status checks on each flow.
+/// Number of status checks on each flow.
 const CHECKS: u64 = 3;
-/// Time for warming to pass.
+/// Time for the warm-up of new agents to end.
 const SETTLE: Duration = Duration::from_secs(3);
-/// Reasons for a drop that say that a caller's packet was not understood.
+/// Reasons of drops by which a balancer reports that it did not recognize a caller's packet.
 const NOT_UNDERSTOOD: [&str; 3] = ["not_quic", "frame_header", "frame_mac"];
 
-/// Times of one kind of step.
+/// Latencies of one kind of step.
 #[derive(Default)]
 struct Times(Vec<Duration>);
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Opens `flows` flows one after the other, with status checks and a filing on each.
+/// Opens `flows` flows one after another, with status checks and a filing on each.
 ///
 /// # Errors
 /// When the system does not come up or a call fails.
--- a/crates/nutmegkeel_dev/src/measure/retries.rs
+++ b/crates/nutmegkeel_dev/src/measure/retries.rs
@@ -1,4 +1,4 @@
-//! Keyed requests sent again and again, by several agents, over a platform that loses answers.
+//! Duplicate runs of keyed requests that several agents retry over a platform that loses answers.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 
 const AGENTS: usize = 7;
 const KEYS: u64 = 2_000;
-/// Each key is sent so often, by different flows and agents.
+/// Number of times that each key is sent, on different flows and to different agents.
 const SENDS: u64 = 4;
 const DEADLINE: Time = Time::from_millis(10_000);
 const SEED: u64 = 1;
@@ -28,7 +28,7 @@
     may_have_run: u64,
 }
 
-/// Runs the measurement; true when no key ran twice.
+/// Runs the measurement; returns true when no key ran twice with claims.
 pub(super) fn run() -> bool {
     println!(
         "{:<22} {:>6} {:>10} {:>9} {:>9} {:>14} {:>9}",
@@ -63,7 +63,7 @@
     met
 }
 
-/// Sends every key several times, in an order drawn from the seed, in groups of up to 20.
+/// Sends every key several times in an order based on the seed, in groups of up to 20.
 fn send_all(store: &Memory, claims: bool, faults: bool) -> Counts {
     let mut rng = SmallRng::seed_from_u64(SEED);
     let mut counts = Counts::default();
--- a/crates/nutmegkeel_dev/src/measure/routing.rs
+++ b/crates/nutmegkeel_dev/src/measure/routing.rs
@@ -1,4 +1,5 @@
-//! Imbalance of new flows against baselines, and openings that two balancers would place apart.
+//! Imbalance of new flows against baselines, and the share of openings that two balancers would
+//! place differently.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,30 +12,30 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Map, json};
 
-/// Sizes of the brief: seven targets of seven slots and 2,000 connections.
+/// Number of agents of the specified deployment, with seven slots and 2,000 connections each.
 const AGENTS: u16 = 7;
 const SLOTS: u32 = 7;
 const CONNECTIONS: u32 = 2_000;
 const BALANCERS: usize = 3;
 /// New flows per second.
 const RATE: u64 = 2_000;
-/// Mean life of a flow, in milliseconds.
+/// Mean lifetime of a flow, in milliseconds.
 const LIFE_MS: u64 = 2_000;
-/// Length of a run and of its unmeasured beginning, in milliseconds.
+/// Length of a run and of its warm-up, which is not measured, in milliseconds.
 const LENGTH_MS: u64 = 20_000;
 const WARM_MS: u64 = 6_000;
-/// Time between two samples of the imbalance, in milliseconds.
+/// Interval between two samples of the imbalance, in milliseconds.
 const SAMPLE_MS: u64 = 100;
-/// The aim: the busiest server over the mean.
+/// Aim for the ratio of the flows at the busiest agent to the mean.
 const AIM: f64 = 1.10;
 const SEED: u64 = 1;
 
-/// One way of placing flows.
+/// A strategy for placing flows.
 struct Way {
     name: &'static str,
     rule: Rule,
     random: bool,
-    /// An agent whose reports say that it is idle, whatever it does.
+    /// Whether the first agent reports no load whatever its load is.
     liar: bool,
 }
 
@@ -53,7 +54,7 @@
     apart: f64,
 }
 
-/// Runs the measurement; true when the aim was met.
+/// Runs the measurement; returns true when the aim was met.
 pub(super) fn run() -> bool {
     println!("{:<24} {:>10} {:>10} {:>14}", "rule", "imbalance", "worst", "placed apart");
     let mut line = Map::new();
@@ -122,7 +123,8 @@
     Result { mean, worst, apart: 100.0 * apart as f64 / placed as f64 }
 }
 
-/// The agent's report rides on an answer to the balancer that carried the flow's packet.
+/// Passes an agent's load report to the balancer that forwarded the flow's packet, since answers
+/// carry the report.
 fn report(way: &Way, balancer: &mut Pool, agent: SocketAddr, open: &BTreeMap<SocketAddr, u32>) {
     let lies = way.liar && agent == address(0);
     let connections = if lies { 0 } else { open[&agent] };
--- a/crates/nutmegkeel_dev/src/measure/silence.rs
+++ b/crates/nutmegkeel_dev/src/measure/silence.rs
@@ -1,4 +1,4 @@
-//! How long callers of a killed agent hear nothing before they know.
+//! Time until callers of a killed agent detect that their flows have ended.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -9,18 +9,18 @@
 use crate::demo::bench::Bench;
 use crate::demo::calls;
 
-/// Time for the fleet to find itself.
+/// Time for all processes to discover each other.
 const SETTLE: Duration = Duration::from_secs(4);
-/// Flows opened, so that each server of the class holds some.
+/// Number of flows opened, enough for each server of the class to hold some.
 const FLOWS: usize = 30;
-/// The aim for callers who send: suspicion, an own probe, and a reset.
+/// Aim for callers that send: the time for suspicion, a probe of their own, and a reset.
 const ACTIVE_AIM: Duration = Duration::from_secs(5);
-/// The aim for callers who only listen: the idle timeout that agents ask for.
+/// Aim for callers that only receive: the idle timeout that agents request.
 const PASSIVE_AIM: Duration = Duration::from_secs(11);
-/// Pause between two tries of a caller who sends.
+/// Interval between two requests of a caller that sends.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// Runs the measurement; true when the aims were met.
+/// Runs the measurement; returns true when the aims were met.
 ///
 /// # Errors
 /// When the system does not come up.
--- a/crates/nutmegkeel_dev/src/standin.rs
+++ b/crates/nutmegkeel_dev/src/standin.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for the platform, the fabric and a backend server.
+//! Stand-ins for the platform, the fabric and a backend server, and a plain relay as a baseline.
 
 pub mod backend;
 pub mod fabric;
--- a/crates/nutmegkeel_dev/src/standin/backend.rs
+++ b/crates/nutmegkeel_dev/src/standin/backend.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a backend server: announces itself, serves, and records everything it ran.
+//! Stand-in for a backend server: announces itself to its agent, serves requests and records them.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -23,9 +23,9 @@
 
 use crate::body;
 
-/// Header by which callers say which desk they mean.
+/// Request header with the class that the caller addresses.
 pub const CLASS_HEADER: &str = "demo-class";
-/// Header by which a server names itself.
+/// Response header with the name of the server.
 pub const SERVER_HEADER: &str = "demo-server";
 
 type Body = BoxBody<Bytes, Infallible>;
@@ -33,40 +33,40 @@
 /// Settings of the stand-in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Settings {
-    /// Its name in records.
+    /// Name of the server in records.
     pub name: String,
     /// Class that it serves.
     pub class: String,
-    /// Address to serve at.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Small HTTP server of the agent beside it.
+    /// Address of the HTTP server of its agent.
     pub agent: SocketAddr,
-    /// Requests in progress at most.
+    /// Maximum number of requests in progress.
     pub slots: u32,
-    /// Open flows at most.
+    /// Maximum number of open flows.
     pub connections: u32,
     /// Time that a short request takes, in milliseconds.
     pub service_ms: u64,
 }
 
-/// What a server recorded.
+/// Requests and feeds that a server recorded.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Records {
     /// Name of the server.
     pub server: String,
     /// Class that it serves.
     pub class: String,
-    /// How often each key ran.
+    /// Number of runs of each idempotency key.
     pub runs: BTreeMap<String, u64>,
-    /// Requests that began.
+    /// Number of requests that started.
     pub requests: u64,
-    /// Requests that were meant for another class.
+    /// Number of requests that were addressed to another class.
     pub wrong_desk: u64,
-    /// Most requests in progress at once.
+    /// Highest number of requests in progress at the same time.
     pub most_busy: u32,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub busy: u32,
-    /// Feeds that were opened.
+    /// Number of feeds that were opened.
     pub feeds: u64,
 }
 
@@ -110,7 +110,7 @@
     }
 }
 
-/// Announces the server to its agent, again until the agent has taken it.
+/// Announces the server to its agent; retries until the agent accepts the announcement.
 fn announce(settings: &Settings) {
     let announcement = json!({
         "class": settings.class,
@@ -126,7 +126,7 @@
 
 async fn connection(state: Arc<State>, stream: TcpStream) {
     let service = service_fn(move |request| answer(Arc::clone(&state), request));
-    // A connection that breaks concerns its agent only.
+    // An error only ends this connection, and the agent handles that.
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
@@ -167,7 +167,7 @@
     Ok(response)
 }
 
-/// Counts a request while its head is being worked on.
+/// Counts a request as in progress until the head of its response is ready.
 struct Busy {
     state: Arc<State>,
 }
@@ -224,7 +224,7 @@
     Response::new(streamed(lines, every_ms, move |index| line(&name, index)))
 }
 
-/// One line of a feed.
+/// Returns one line of a feed.
 #[must_use]
 pub fn line(server: &str, index: u64) -> Bytes {
     format!("{server} line {index}\n").into()
--- a/crates/nutmegkeel_dev/src/standin/fabric.rs
+++ b/crates/nutmegkeel_dev/src/standin/fabric.rs
@@ -1,7 +1,7 @@
-//! Stand-in for the fabric: hands every packet to a random balancer that reports itself healthy.
+//! Stand-in for the fabric: forwards every packet to a random balancer that reports itself healthy.
 //!
 //! Each caller gets a socket of its own towards the balancers, so that they see one address per
-//! caller, as they would behind a real fabric.
+//! caller, as behind a real fabric.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,17 +13,17 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 
-/// Time between two looks at a balancer's health.
+/// Interval between two health checks of a balancer, and their timeout.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// A caller that sent nothing for so long is forgotten.
+/// Time without a packet after which a caller's socket is closed.
 const FORGET: Duration = Duration::from_secs(60);
-/// Largest datagram.
+/// Largest datagram, in bytes.
 const LARGEST: usize = 2_048;
 
-/// Where a balancer takes packets and tells its health.
+/// Addresses at which a balancer receives packets and reports its health.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Balancer {
-    /// Address of its small HTTP server.
+    /// Address of its HTTP server.
     pub web: SocketAddr,
     /// Its address for each public address, in the same order.
     pub desks: Vec<SocketAddr>,
@@ -34,7 +34,7 @@
 pub struct Settings {
     /// Public addresses: one per class.
     pub public: Vec<SocketAddr>,
-    /// Balancers, those not started yet included.
+    /// Balancers, including those not started yet.
     pub balancers: Vec<Balancer>,
 }
 
@@ -98,7 +98,7 @@
         let Ok(socket) = socket_of(&callers, &public, from).await else {
             continue;
         };
-        // A lost packet is the fabric's right; QUIC sends it again.
+        // The fabric may lose packets; QUIC retransmits them.
         let _ = socket.send_to(&datagram[..length], balancer).await;
     }
 }
--- a/crates/nutmegkeel_dev/src/standin/platform.rs
+++ b/crates/nutmegkeel_dev/src/standin/platform.rs
@@ -13,28 +13,28 @@
 use serde_json::{Value, json};
 use tiny_http::{Request, Response, Server};
 
-/// Threads that answer calls.
+/// Number of threads that answer calls.
 const WORKERS: usize = 8;
 
-/// How the stand-in behaves.
+/// Behaviour of the stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// Answers.
+    /// Answers every call.
     #[default]
     Up,
-    /// Breaks every connection without an answer and does nothing.
+    /// Closes every connection without an answer; no call takes effect.
     Down,
-    /// Answers after so many milliseconds.
+    /// Answers after a delay, in milliseconds.
     Slow(u64),
-    /// Does what it is asked and breaks the connection without an answer, for writes.
+    /// Executes every call, but answers only reads; closes all other connections without an answer.
     LoseAnswers,
 }
 
-/// What the stand-in counted.
+/// Number of calls of each kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Range calls.
+    /// Range requests.
     pub reads: u64,
     /// Transactions.
     pub writes: u64,
@@ -65,7 +65,7 @@
 }
 
 impl Handle {
-    /// The endpoint for clients.
+    /// Returns the endpoint for clients.
     #[must_use]
     pub fn endpoint(&self) -> String {
         format!("http://{}", self.address)
@@ -76,14 +76,14 @@
         lock(&self.state).mode = mode;
     }
 
-    /// What was counted so far.
+    /// Returns the number of calls so far.
     #[must_use]
     pub fn counts(&self) -> Counts {
         lock(&self.state).counts
     }
 }
 
-/// Serves at `address`; port 0 lets the system choose.
+/// Starts the stand-in at `address`; with port 0 the operating system chooses the port.
 ///
 /// # Errors
 /// When the address cannot be bound.
@@ -135,7 +135,7 @@
     answer(request, &answered);
 }
 
-/// Ends the connection without a word.
+/// Closes the connection without an answer.
 fn break_off(request: Request) {
     drop(request.into_writer());
 }
--- a/crates/nutmegkeel_dev/src/standin/relay.rs
+++ b/crates/nutmegkeel_dev/src/standin/relay.rs
@@ -1,12 +1,12 @@
-//! A plain UDP relay: the least that a hop can cost, as a baseline.
+//! Plain UDP relay, the baseline for the lowest possible cost of a hop.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Largest datagram.
+/// Largest datagram, in bytes.
 const LARGEST: usize = 2_048;
 
-/// Sends every datagram that arrives at `from` on to `to`, until the process ends.
+/// Forwards every datagram received at `from` to `to` until the process ends.
 ///
 /// # Errors
 /// When the address cannot be bound.
