--- a/crates/nutmegkeel_dev/src/body.rs
+++ b/crates/nutmegkeel_dev/src/body.rs
@@ -1,14 +1,14 @@
-//! Bodies whose every byte a caller can check.
+//! Deterministic bodies that a caller can verify byte by byte.
 
 use bytes::Bytes;
 
-/// Length of one part of a long body.
+/// Length of one part of a long body, in bytes.
 pub const PART: usize = 64 * 1024;
 
-/// Hash over a body as it arrives.
+/// Incremental hash over a body.
 pub type Hasher = blake3::Hasher;
 
-/// One part of the long body; the same for every server.
+/// Returns one part of the long body, which is the same at every server.
 #[must_use]
 pub fn part(index: usize) -> Bytes {
     let mut part = vec![0; PART];
@@ -18,7 +18,7 @@
     part.into()
 }
 
-/// Hash of the long body of `parts` parts.
+/// Returns the hash of the long body of `parts` parts.
 #[must_use]
 pub fn hash(parts: usize) -> String {
     let mut hasher = Hasher::new();
@@ -28,7 +28,7 @@
     hasher.finalize().to_hex().to_string()
 }
 
-/// The answer to a status check.
+/// Returns the answer to a status check.
 #[must_use]
 pub fn status(number: u64) -> String {
     format!("request {number} is being processed\n").repeat(20)
--- a/crates/nutmegkeel_dev/src/caller.rs
+++ b/crates/nutmegkeel_dev/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: HTTP/3 over QUIC through the fabric, checking every byte of every answer.
+//! HTTP/3 caller over QUIC that hashes every answer so that its body can be verified.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -16,23 +16,23 @@
 
 /// Name in the certificate of the agents.
 pub const SERVER_NAME: &str = "nutmegkeel.test";
-/// Longest body kept as text.
+/// Length from which on no further part of a body is kept as text, in bytes.
 const KEPT: usize = 4_096;
-/// A flow that is not open by then has failed.
+/// Time limit for opening a flow.
 const OPEN_WITHIN: Duration = Duration::from_secs(10);
-/// An answer on which nothing arrives for so long has failed.
+/// Time without received data after which an answer has failed.
 const SILENT: Duration = Duration::from_secs(10);
 
-/// Why a call got no whole answer.
+/// Error of a call that got no complete answer.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
     /// The flow could not be opened; nothing was sent.
     #[error("flow not opened: {0}")]
     NotOpened(String),
-    /// The server said goodbye before it took the request; nothing ran.
-    #[error("flow is ending, the request was not taken")]
+    /// The server closed the flow or rejected the request before it accepted it; nothing ran.
+    #[error("flow is closing, the request was not accepted")]
     Goodbye,
-    /// The flow or the answer broke.
+    /// The flow or the answer was interrupted.
     #[error("broken: {0}")]
     Broken(String),
 }
@@ -44,22 +44,22 @@
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Class that is meant.
+    /// Class that the request addresses.
     pub class: String,
-    /// Key of a request that must run at most once.
+    /// Idempotency key, if the request must run at most once.
     pub key: Option<String>,
     /// Body.
     pub body: Bytes,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// Status.
     pub status: StatusCode,
-    /// Whether the request may have run, as the system says.
+    /// Verdict of the system on whether the request may have run.
     pub verdict: String,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Option<Duration>,
     /// Server that answered.
     pub server: String,
@@ -67,15 +67,15 @@
     pub hash: String,
     /// Length of the body.
     pub length: u64,
-    /// The body, when it is short.
+    /// The body if it is short, otherwise its beginning.
     pub text: String,
-    /// Time to the head of the answer.
+    /// Time until the head of the answer arrived.
     pub head_after: Duration,
-    /// Longest time without a byte.
+    /// Longest time without received data.
     pub longest_silence: Duration,
 }
 
-/// A caller's endpoint: one UDP port, any number of flows.
+/// Endpoint of a caller: one UDP port with any number of flows.
 #[derive(Clone, Debug)]
 pub struct Caller {
     endpoint: quinn::Endpoint,
@@ -88,10 +88,10 @@
 }
 
 impl Caller {
-    /// A caller that trusts this certificate.
+    /// Creates a caller that trusts this certificate.
     ///
     /// # Errors
-    /// When the certificate is none or no port is free.
+    /// When the certificate is invalid or no port is free.
     pub fn open(certificate: CertificateDer<'static>) -> std::io::Result<Self> {
         let mut roots = rustls::RootCertStore::empty();
         roots.add(certificate).map_err(std::io::Error::other)?;
@@ -129,10 +129,11 @@
 }
 
 impl Flow {
-    /// Sends a request and takes in its whole answer.
+    /// Sends a request and receives its complete answer.
     ///
     /// # Errors
-    /// When the answer is not whole; [`Fault::Goodbye`] when the request was surely not taken.
+    /// When the answer is incomplete; [`Fault::Goodbye`] when the request was certainly not
+    /// accepted.
     pub async fn call(&mut self, call: &Call) -> Result<Answer, Fault> {
         let began = Instant::now();
         let request = request(call).map_err(|error| Fault::Broken(error.to_string()))?;
@@ -169,7 +170,7 @@
         Ok(answer)
     }
 
-    /// Returns when the flow is over, whatever ended it.
+    /// Waits until the flow has ended for any reason.
     pub async fn ended(&self) {
         self.connection.closed().await;
     }
@@ -180,7 +181,8 @@
     }
 }
 
-/// A server that needs no more of a request says so and answers all the same.
+/// Ignores the error of a server that stops reading a request early, since it still answers
+/// (RFC 9114, section 4.1).
 fn unless_unneeded(sent: Result<(), StreamError>) -> Result<(), Fault> {
     match sent {
         Err(StreamError::RemoteTerminate { code, .. }) if code == Code::H3_NO_ERROR => Ok(()),
@@ -191,7 +193,7 @@
 async fn within<T>(future: impl Future<Output = Result<T, StreamError>>) -> Result<T, Fault> {
     match tokio::time::timeout(SILENT, future).await {
         Ok(result) => result.map_err(fault),
-        Err(_) => Err(Fault::Broken("silence".to_owned())),
+        Err(_) => Err(Fault::Broken("no data within the time limit".to_owned())),
     }
 }
 
@@ -211,7 +213,8 @@
     value.unwrap_or_default().to_owned()
 }
 
-/// Sorts an error by whether the server surely did not take the request (RFC 9114, section 4.1.1).
+/// Classifies an error by whether the server certainly did not accept the request (RFC 9114,
+/// section 4.1.1).
 #[allow(clippy::needless_pass_by_value)]
 fn fault(error: StreamError) -> Fault {
     match error {
--- a/crates/nutmegkeel_dev/src/compare.rs
+++ b/crates/nutmegkeel_dev/src/compare.rs
@@ -1,5 +1,5 @@
-//! Compares versions of the system on the users' bench: the same days and seeds for each, played in turn,
-//! and the difference pair by pair.
+//! Compares versions of the system on the users' bench: all versions play the same days and seeds
+//! in turn, and the result is the difference of each pair of plays.
 
 pub mod play;
 pub mod statistic;
@@ -15,7 +15,7 @@
 use play::{Day, Outcome};
 use table::{Cell, Table};
 
-/// One version of the system: a checkout that the bench builds and plays.
+/// One version of the system: a checkout that the bench builds and runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Way {
     /// Its name in the table.
@@ -37,7 +37,7 @@
     }
 }
 
-/// What is compared.
+/// Options of a comparison.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The bench's program.
@@ -48,15 +48,15 @@
     pub days: Vec<String>,
     /// Seeds of each day, from 1 on.
     pub seeds: u64,
-    /// Versions; the first is the standing one.
+    /// Versions to compare; the first is the baseline.
     pub ways: Vec<Way>,
-    /// Plays at once.
+    /// Number of concurrent plays.
     pub jobs: usize,
     /// Purpose, for the bench's journal.
     pub why: String,
 }
 
-/// Why a comparison cannot be made.
+/// Error of a comparison.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
     /// A file or folder is missing, or the bench cannot be started.
@@ -67,12 +67,13 @@
         /// What is wrong with it.
         error: io::Error,
     },
-    /// Nothing to compare.
-    #[error("two ways at least are compared, and one site, day and seed at least")]
+    /// Fewer than two ways, or no site, day or seed.
+    #[error("a comparison needs at least two ways, one site, one day and one seed")]
     Empty,
 }
 
-/// Plays all days with all ways and prints the table; true if no play failed or broke a rule.
+/// Plays all days with all ways and prints the table; returns true if no play failed or broke a
+/// rule.
 ///
 /// # Errors
 /// When a folder is missing, or the bench cannot be started.
@@ -93,7 +94,7 @@
 fn days(options: &Options) -> Result<Vec<Day>, Fault> {
     let mut days = Vec::new();
     for site in &options.sites {
-        // The bench runs in the checkout, so that a relative path would name another file there.
+        // The bench runs in the checkout, where a relative path would name another file.
         let site = site
             .canonicalize()
             .map_err(|error| Fault::Io { what: site.display().to_string(), error })?;
@@ -106,7 +107,7 @@
     if days.is_empty() { Err(Fault::Empty) } else { Ok(days) }
 }
 
-/// Plays each day with one way after the other, so that a drift of the machine's speed meets all alike.
+/// Plays each day with all ways in turn, so that a drift of the machine's speed affects all alike.
 fn play_all(options: &Options, days: &[Day]) -> Result<Vec<Cell>, Fault> {
     let plays = days.iter().flat_map(|day| options.ways.iter().map(move |way| (day, way)));
     let waiting: Mutex<VecDeque<_>> = Mutex::new(plays.collect());
@@ -136,11 +137,11 @@
 fn progress(plays: usize) -> ProgressBar {
     let bar = ProgressBar::new(u64::try_from(plays).unwrap_or(u64::MAX));
     let style = ProgressStyle::with_template("{pos}/{len} plays, {elapsed_precise}, left {eta}");
-    // The template is fixed; with the usual style the bar would only look different.
+    // The template is constant; the default style would only change the look of the bar.
     bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
-/// Where the output is no terminal the bar shows nothing, and would swallow the line.
+/// Prints a line above the progress bar. Without a terminal the bar is hidden and would drop it.
 fn tell(progress: &ProgressBar, line: &str) {
     if progress.is_hidden() {
         println!("{line}");
--- a/crates/nutmegkeel_dev/src/compare/play.rs
+++ b/crates/nutmegkeel_dev/src/compare/play.rs
@@ -1,4 +1,4 @@
-//! One day of the users' bench, and what it reports.
+//! Plays one day on the users' bench and reads its report.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,20 +15,20 @@
 pub struct Day {
     /// File of the deployment.
     pub site: PathBuf,
-    /// Name of the day, or the file of one of our own.
+    /// Name of a day of the bench, or the file of a custom day.
     pub name: String,
     /// The seed.
     pub seed: u64,
 }
 
 impl Day {
-    /// Name of the deployment.
+    /// Returns the name of the deployment.
     #[must_use]
     pub fn deployment(&self) -> String {
         stem(&self.site)
     }
 
-    /// Name of the day, without the folder of one of our own.
+    /// Returns the name of the day, for a custom day without its folder.
     #[must_use]
     pub fn label(&self) -> String {
         stem(Path::new(&self.name))
@@ -45,30 +45,30 @@
     path.file_stem().map_or_else(String::new, |stem| stem.to_string_lossy().into_owned())
 }
 
-/// What the bench reports of a day. Its names are decoded here.
+/// Report of the bench on a day, with the names that the bench gives its fields.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Report {
-    /// Worth of the day, the share of owed value that was delivered, less prices.
+    /// Worth of the day: the share of owed value that was delivered, minus prices.
     #[serde(rename = "G")]
     pub worth: f64,
-    /// What became of the requests.
+    /// Requests by outcome.
     #[serde(rename = "all")]
     pub requests: Requests,
     /// Rules that were broken, and how often.
     pub breaks: BTreeMap<String, Value>,
-    /// Why the day counts for nothing, if it does.
+    /// Reason for which the day is void, if it is.
     pub fault: Option<String>,
 }
 
 impl Report {
-    /// Whether no rule was broken.
+    /// Returns whether no rule was broken.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.breaks.is_empty() && self.fault.is_none()
     }
 }
 
-/// Requests of a day by what became of them.
+/// Numbers of requests of a day by outcome.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 pub struct Requests {
     /// Answered after their objective.
@@ -80,18 +80,18 @@
 /// How a play ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// With a report.
+    /// The bench wrote a report.
     Played(Report),
-    /// Without one, and why.
+    /// The bench wrote no valid report, for this reason.
     Failed(String),
 }
 
-/// Has the bench build a checkout, so that no build runs beside a play.
+/// Lets the bench build a checkout, so that no build runs during a play.
 pub(super) fn build(bench: &Path, way: &Way) -> Result<(), Fault> {
     call(bench, way, &["build".to_owned()]).map(|_| ())
 }
 
-/// Plays a day with a way. Processor time is not charged: it differs from play to play.
+/// Plays a day with a way. Processor time is not charged because it differs between plays.
 pub(super) fn play(options: &Options, day: &Day, way: &Way) -> Result<Outcome, Fault> {
     let name = format!("{}-{}-{}-{}", way.name, day.deployment(), day.label(), day.seed);
     let file = std::env::temp_dir().join(format!("nutmegkeel-{}-{name}.json", std::process::id()));
@@ -111,7 +111,7 @@
     let Ok(text) = std::fs::read_to_string(&file) else {
         return Ok(Outcome::Failed(last_line(&said)));
     };
-    // Nobody reads it again; one that cannot be removed is only left behind.
+    // The report is not needed again; if it cannot be removed, only a temporary file remains.
     let _ = std::fs::remove_file(&file);
     Ok(read(&text))
 }
@@ -121,7 +121,7 @@
 pub fn read(text: &str) -> Outcome {
     match serde_json::from_str(text) {
         Ok(report) => Outcome::Played(report),
-        Err(error) => Outcome::Failed(format!("report not understood: {error}")),
+        Err(error) => Outcome::Failed(format!("report cannot be parsed: {error}")),
     }
 }
 
@@ -133,5 +133,9 @@
 }
 
 fn last_line(said: &str) -> String {
-    said.lines().rev().find(|line| !line.trim().is_empty()).unwrap_or("it said nothing").to_owned()
+    said.lines()
+        .rev()
+        .find(|line| !line.trim().is_empty())
+        .unwrap_or("the bench printed nothing")
+        .to_owned()
 }
--- a/crates/nutmegkeel_dev/src/compare/statistic.rs
+++ b/crates/nutmegkeel_dev/src/compare/statistic.rs
@@ -1,12 +1,12 @@
-//! Mean, spread, and how sure a mean is.
+//! Mean, range and confidence interval of a sample.
 
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use statrs::statistics::Statistics;
 
-/// Part of the cases in which the interval holds the true mean.
+/// Confidence level of the interval.
 const CONFIDENCE: f64 = 0.95;
 
-/// What a few figures say of their mean.
+/// Summary statistics of a sample.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Summary {
     /// Number of figures.
@@ -22,7 +22,7 @@
 }
 
 impl Summary {
-    /// A summary of these figures; none if there are none.
+    /// Returns the summary of these figures, or none if there are none.
     #[must_use]
     pub fn of(figures: &[f64]) -> Option<Self> {
         if figures.is_empty() {
@@ -38,7 +38,7 @@
     }
 }
 
-/// By Student's t, because the spread is known from the few figures only.
+/// Uses Student's t-distribution, since the variance is estimated from a small sample.
 #[expect(clippy::cast_precision_loss, reason = "there are a few hundred figures at most")]
 fn margin(figures: &[f64]) -> Option<f64> {
     let degrees = figures.len().checked_sub(1).filter(|degrees| *degrees > 0)?;
--- a/crates/nutmegkeel_dev/src/compare/table.rs
+++ b/crates/nutmegkeel_dev/src/compare/table.rs
@@ -1,4 +1,4 @@
-//! The table of a comparison, as a page of the documentation shows it.
+//! Result table of a comparison, in Markdown for the documentation.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -27,7 +27,7 @@
 }
 
 impl Table {
-    /// The table of these plays; the first way is the standing one.
+    /// Creates the table of these plays; the first way is the baseline.
     #[must_use]
     pub fn of(ways: &[Way], cells: Vec<Cell>) -> Self {
         let mut names = ways.iter().map(|way| way.name.clone());
@@ -35,7 +35,7 @@
         Self { standing: names.next().unwrap_or_default(), others: names.collect(), plays }
     }
 
-    /// Whether every day was played and broke no rule.
+    /// Returns whether every day was played and broke no rule.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.plays.values().all(|outcome| match outcome {
@@ -51,7 +51,8 @@
         }
     }
 
-    /// The days, by deployment and name; a deployment's own row, which has all its days, comes last.
+    /// Returns the days by deployment and name. The row of a deployment with all its days has no
+    /// name.
     fn rows(&self) -> BTreeMap<(String, Option<String>), Vec<&Day>> {
         let mut rows: BTreeMap<_, Vec<&Day>> = BTreeMap::new();
         for (day, way) in self.plays.keys() {
@@ -63,7 +64,7 @@
         rows
     }
 
-    /// Worth of both ways on the days that both have played, and the difference.
+    /// Returns the worth of both ways on the days that both played, and the difference.
     fn compare(&self, days: &[&Day], other: &str) -> Option<[Summary; 3]> {
         let pairs: Vec<(f64, f64)> = days
             .iter()
--- a/crates/nutmegkeel_dev/src/demo/bench.rs
+++ b/crates/nutmegkeel_dev/src/demo/bench.rs
@@ -255,8 +255,8 @@
         sums
     }
 
-    /// Changes a class with the product's own command, stops the platform at once, and returns the time
-    /// until every running balancer reports that the change is in force.
+    /// Changes a class with the product's own command, stops the platform at once, and returns the
+    /// time until every running balancer reports that the change is in force.
     pub(crate) fn change_class_then_lose_platform(&mut self) -> io::Result<Duration> {
         let running: Vec<SocketAddr> = self.running_balancers();
         let first = *running.first().ok_or_else(|| io::Error::other("no balancer runs"))?;
--- a/crates/nutmegkeel_dev/src/lib.rs
+++ b/crates/nutmegkeel_dev/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for what surrounds the product, the demo over all of it, and measurements.
+//! Developer tools: stand-ins for the systems around the product, the demo, measurements, soak
+//! tests, comparisons and model checks.
 
 pub mod body;
 pub mod caller;
--- a/crates/nutmegkeel_dev/src/main.rs
+++ b/crates/nutmegkeel_dev/src/main.rs
@@ -1,4 +1,4 @@
-//! The developers' tool: `cargo dev demo`, and the stand-ins as processes.
+//! Command line of the developer tools, such as `cargo dev demo`, and of the stand-in processes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -63,8 +63,10 @@
 }
 
 fn demo_command() -> impl Parser<Command> {
-    let seconds =
-        bpaf::long("seconds").help("How long the callers call").argument("SECONDS").fallback(16);
+    let seconds = bpaf::long("seconds")
+        .help("Duration of the callers' load")
+        .argument("SECONDS")
+        .fallback(16);
     let keep = bpaf::long("keep")
         .help("Keep everything running afterwards, until Enter is pressed")
         .switch();
@@ -79,16 +81,28 @@
     let decided = |name, description, measurement: Measurement| {
         bpaf::pure(measurement).to_options().descr(description).command(name)
     };
-    let forward = decided("forward", "What a balancer spends on a packet", Measurement::Forward);
-    let silence = decided("silence", "Callers of a killed agent", Measurement::Silence);
+    let forward =
+        decided("forward", "Processor time of a balancer per packet", Measurement::Forward);
+    let silence =
+        decided("silence", "Time until callers of a killed agent detect it", Measurement::Silence);
     let routing = decided("routing", "Placement against baselines", Measurement::Routing);
     let limits = decided("limits", "Goodput under overload", Measurement::Limits);
-    let retries = decided("retries", "Runs beyond one, and cost", Measurement::Retries);
+    let retries =
+        decided("retries", "Duplicate runs, and the cost of claims", Measurement::Retries);
     let membership = decided("membership", "Detection and traffic", Measurement::Membership);
-    let configuration = decided("configuration", "Spread of a change", Measurement::Configuration);
+    let configuration =
+        decided("configuration", "Time until a change is in force", Measurement::Configuration);
     let leaving = decided("leaving", "Last new flow at a leaving agent", Measurement::Leaving);
-    let finding = decided("finding", "Agent of a flow, by size of the fleet", Measurement::Finding);
-    let capacity = decided("capacity", "Slopes for docs/CAPACITY.md", Measurement::Capacity);
+    let finding = decided(
+        "finding",
+        "Time to find the agent of a flow, by size of the fleet",
+        Measurement::Finding,
+    );
+    let capacity = decided(
+        "capacity",
+        "Cost per member, agent and class, for docs/CAPACITY.md",
+        Measurement::Capacity,
+    );
     bpaf::construct!([
         path_measurement(),
         forward,
@@ -105,7 +119,7 @@
     ])
     .map(Command::Measure)
     .to_options()
-    .descr("Measure one thing")
+    .descr("Run one measurement")
     .command("measure")
 }
 
@@ -122,10 +136,10 @@
     let days = bpaf::long("day").help("A day, by name").argument::<String>("DAY").many();
     let seeds = bpaf::long("seeds").help("Seeds of each day").argument("COUNT").fallback(3);
     let ways = bpaf::long("way")
-        .help("A checkout and its name in the table; the first is the standing one")
+        .help("A checkout and its name in the table; the first is the baseline")
         .argument::<compare::Way>("NAME=FOLDER")
         .many();
-    let jobs = bpaf::long("jobs").help("Plays at once").argument("COUNT").fallback(2);
+    let jobs = bpaf::long("jobs").help("Number of concurrent plays").argument("COUNT").fallback(2);
     let why = bpaf::long("why").help("Purpose, for the journal").argument::<String>("TEXT");
     bpaf::construct!(compare::Options { bench, sites, days, seeds, ways, jobs, why })
         .map(Command::Compare)
@@ -136,20 +150,23 @@
 
 fn soak_command() -> impl Parser<Command> {
     let seed = bpaf::long("seed").help("First seed").argument("SEED").fallback(1);
-    let minutes = bpaf::long("minutes").help("How long").argument("MINUTES").fallback(1);
+    let minutes = bpaf::long("minutes").help("Duration in minutes").argument("MINUTES").fallback(1);
     bpaf::construct!(Command::Soak(seed, minutes))
         .to_options()
-        .descr("Random runs of the core under faults")
+        .descr("Run the simulated core under random faults")
         .command("soak")
 }
 
 fn soak_processes() -> impl Parser<Command> {
     let seed = bpaf::long("seed").help("First seed").argument("SEED").fallback(1);
     let count = bpaf::long("count").help("Number of seeds").argument("COUNT").fallback(6);
-    let seconds = bpaf::long("seconds").help("Faults of each").argument("SECONDS").fallback(10);
+    let seconds = bpaf::long("seconds")
+        .help("Duration of the faults of each seed")
+        .argument("SECONDS")
+        .fallback(10);
     bpaf::construct!(Command::SoakProcesses(seed, count, seconds))
         .to_options()
-        .descr("Random faults for the real programs on the users' platform's stand-ins")
+        .descr("Run the real programs over stand-ins under random faults")
         .command("soak-processes")
 }
 
@@ -162,18 +179,18 @@
         })
         .map(Measurement::CapacityPoint)
         .to_options()
-        .descr("One point of the slopes, in this process")
+        .descr("One point of the capacity measurement, in this process")
         .command("capacity-point")
 }
 
 fn path_measurement() -> impl Parser<Measurement> {
     bpaf::long("flows")
-        .help("Flows to open, one after the other")
+        .help("Flows to open, one after another")
         .argument("COUNT")
         .fallback(200)
         .map(Measurement::Path)
         .to_options()
-        .descr("What the system adds to a call, and its control traffic")
+        .descr("Latency of a call, and control traffic")
         .command("path")
 }
 
--- a/crates/nutmegkeel_dev/src/measure/finding.rs
+++ b/crates/nutmegkeel_dev/src/measure/finding.rs
@@ -1,5 +1,5 @@
-//! Processor time to place a flow, to search for one without a routing token, and to compare failure
-//! domains, by the size of the fleet.
+//! Processor time to place a flow, to search for one without a routing token, and to compare
+//! failure domains, by the size of the fleet.
 
 use std::collections::BTreeSet;
 use std::hint::black_box;
@@ -60,8 +60,8 @@
     true
 }
 
-/// Measures the time to place a flow when all 200 agents of its service are full, the most expensive
-/// case.
+/// Measures the time to place a flow when all 200 agents of its service are full, the most
+/// expensive case.
 fn room_us() -> Value {
     let pool = pool(200, 1);
     let choose_us = choose_us(&pool);
--- a/crates/nutmegkeel_dev/src/measure/leaving.rs
+++ b/crates/nutmegkeel_dev/src/measure/leaving.rs
@@ -1,4 +1,5 @@
-//! Time of the last new flow at a leaving agent, when balancers learn of its leaving up to 5 s apart.
+//! Time of the last new flow at a leaving agent, when balancers learn of its leaving up to 5 s
+//! apart.
 
 use nutmegkeel_core::agent::{Action, Agent, Event, Opening};
 use nutmegkeel_core::clock::Time;
--- a/crates/nutmegkeel_dev/src/measure/silence.rs
+++ b/crates/nutmegkeel_dev/src/measure/silence.rs
@@ -13,7 +13,7 @@
 const SETTLE: Duration = Duration::from_secs(4);
 /// Number of flows opened, enough for each server of the class to hold some.
 const FLOWS: usize = 30;
-/// Aim for callers that send: the time for suspicion, a probe of their own, and a reset.
+/// Aim for callers that send: the time for suspicion, a probe by the balancer, and a reset.
 const ACTIVE_AIM: Duration = Duration::from_secs(5);
 /// Aim for callers that only receive: the idle timeout that agents request.
 const PASSIVE_AIM: Duration = Duration::from_secs(11);
--- a/crates/nutmegkeel_dev/src/model.rs
+++ b/crates/nutmegkeel_dev/src/model.rs
@@ -1,11 +1,11 @@
-//! Checks the models of the core protocol with `spin`: each must hold, and each must show the bug
-//! when a guard is switched off.
+//! Checks the models of the core protocol with `spin`: each must hold, and must fail when any one
+//! of its guards is disabled.
 
 use std::io;
 use std::path::Path;
 use std::process::Command;
 
-/// One model and the guards that can be switched off in it.
+/// A model and its guards that can be disabled.
 struct Model {
     name: &'static str,
     source: &'static str,
@@ -25,7 +25,8 @@
     },
 ];
 
-/// Checks all models; true when every one holds with its guards and fails without each of them.
+/// Checks all models; returns true when each holds with its guards and fails without any one of
+/// them.
 ///
 /// # Errors
 /// When `spin` or the C compiler is missing.
@@ -63,7 +64,9 @@
     finish(compile, directory)?;
     let output = finish(Command::new(directory.join("pan")), directory)?;
     if !output.contains("State-vector") {
-        return Err(io::Error::other(format!("the model was not searched: {output}")));
+        return Err(io::Error::other(format!(
+            "the state space of the model was not searched: {output}"
+        )));
     }
     Ok(output.contains("errors: 0"))
 }
--- a/crates/nutmegkeel_dev/src/port.rs
+++ b/crates/nutmegkeel_dev/src/port.rs
@@ -2,10 +2,10 @@
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 
-/// So many loopback addresses whose ports were free for both TCP and UDP a moment ago.
+/// Returns `count` loopback addresses whose ports were free for both TCP and UDP when checked.
 ///
 /// # Errors
-/// When the system has none left.
+/// When the operating system has no free port.
 pub fn free(count: usize) -> std::io::Result<Vec<SocketAddr>> {
     let mut held = Vec::new();
     while held.len() < count {
--- a/crates/nutmegkeel_dev/src/process.rs
+++ b/crates/nutmegkeel_dev/src/process.rs
@@ -1,17 +1,17 @@
-//! Child processes that end with their owner.
+//! Child processes that are killed when their owner drops them.
 
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A signal, by its number.
+/// A signal to a child process.
 #[derive(Clone, Copy, Debug)]
 pub enum Signal {
-    /// Stop in a planned way.
+    /// Requests a graceful stop.
     Terminate,
-    /// Freeze.
+    /// Suspends the process.
     Stop,
-    /// Go on after a freeze.
+    /// Resumes the process.
     Continue,
 }
 
@@ -53,31 +53,31 @@
         Ok(Self { name: name.to_owned(), child })
     }
 
-    /// The name it was started under.
+    /// Returns the name under which the process was started.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Number of the process.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal by process number.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let _ =
             Command::new("kill").args(["-s", signal.name(), &self.child.id().to_string()]).status();
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for a planned end; true when it came in time and was clean.
+    /// Waits up to `limit` for the process to exit; returns true if it exited in time with success.
     pub fn ended_within(&mut self, limit: Duration) -> bool {
         let until = Instant::now() + limit;
         while Instant::now() < until {
@@ -89,7 +89,7 @@
         false
     }
 
-    /// Whether it still runs.
+    /// Returns whether the process still runs.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
--- a/crates/nutmegkeel_dev/src/soak/processes/caller.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/caller.rs
@@ -27,7 +27,8 @@
 /// Time limit for a final answer: the deadline of the route plus a margin for a busy host.
 const FINAL: Duration = Duration::from_millis(TIMEOUT_MS + 250);
 
-/// Concurrent flows of a usual client in a burst; four clients fill the slots of three servers twice.
+/// Concurrent flows of a usual client in a burst; four clients fill the slots of three servers
+/// twice.
 const BURST_FLOWS: u16 = 8;
 
 /// Concurrent flows of the heavy caller, where other clients have two.
--- a/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
@@ -113,8 +113,8 @@
         self.restart(host, signal);
     }
 
-    /// Restarts the process of a host. Records a disturbance unless it is a graceful stop of a process
-    /// that was not suspended.
+    /// Restarts the process of a host. Records a disturbance unless it is a graceful stop of a
+    /// process that was not suspended.
     fn restart(&mut self, host: Ipv4Addr, signal: Signal) {
         let stood = self.stopped.contains(&host);
         if signal == Signal::Kill || stood {
@@ -252,8 +252,8 @@
         self.speed_up();
     }
 
-    /// Applies all load faults while no process is disturbed: a request without a final answer was then
-    /// lost by the system and not by a fault.
+    /// Applies all load faults while no process is disturbed: a request without a final answer was
+    /// then lost by the system and not by a fault.
     pub(super) fn press(&mut self) {
         self.change_heavy();
         self.burst();
@@ -280,8 +280,8 @@
         thread::sleep(RECOVERY);
     }
 
-    /// Checks that after the faults the right service answers every request through any balancer, and
-    /// that no process has exited by itself. Returns the faults.
+    /// Checks that after the faults the right service answers every request through any balancer,
+    /// and that no process has exited by itself. Returns the faults.
     pub(super) fn check_recovery(mut self) -> Vec<String> {
         let asker = self.fleet.client(LAST);
         let client = Client::bind(asker, self.fleet.ports);
--- a/crates/nutmegkeel_dev/src/soak/processes/truth.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/truth.rs
@@ -155,8 +155,9 @@
 }
 
 impl State {
-    /// Returns whether a configuration that may have been in force when the flow was opened routes the
-    /// port to the server's service. While the store is disturbed an earlier one may stay in force.
+    /// Returns whether a configuration that may have been in force when the flow was opened routes
+    /// the port to the server's service. While the store is disturbed an earlier one may stay in
+    /// force.
     fn allows(&self, port: u16, id: &str, sent: Instant) -> bool {
         let store_calm = self.store_well && self.store_ill.is_none_or(|at| at.elapsed() > CALM);
         let count = self.routes.len();
@@ -168,8 +169,8 @@
         })
     }
 
-    /// Returns whether an open flow may have been reset: its server has ended, a host was disturbed, or
-    /// its route was removed.
+    /// Returns whether an open flow may have been reset: its server has ended, a host was
+    /// disturbed, or its route was removed.
     fn may_reset(&self, port: u16, holder: &str) -> bool {
         let dropped = self
             .routes
@@ -182,8 +183,8 @@
         dropped || self.ended.contains_key(holder) || any_disturbed
     }
 
-    /// Returns whether no fault could have affected a request sent at `sent`: from [`CALM`] before it
-    /// until now no process, server or store was disturbed, and the route was in force.
+    /// Returns whether no fault could have affected a request sent at `sent`: from [`CALM`] before
+    /// it until now no process, server or store was disturbed, and the route was in force.
     fn was_calm(&self, port: u16, sent: Instant) -> bool {
         let is_past = |at: &Instant| *at + CALM <= sent;
         let routed = self
--- a/crates/nutmegkeel_dev/tests/compare.rs
+++ b/crates/nutmegkeel_dev/tests/compare.rs
@@ -1,4 +1,4 @@
-//! Comparisons of versions: figures, tables, and a whole one against a stand-in of the bench.
+//! Comparisons of versions: statistics, tables, and a complete comparison with a stand-in bench.
 
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
@@ -55,7 +55,7 @@
         cell(1, "other", report(0.91, "{}")),
         cell(2, "standing", report(0.70, "{}")),
         cell(2, "other", report(0.71, "{}")),
-        // Without its pair it must not shift the difference.
+        // A play without its pair must not change the difference.
         cell(3, "standing", report(0.10, "{}")),
         cell(3, "other", Outcome::Failed("no report".to_owned())),
     ];
@@ -89,22 +89,23 @@
     assert!(matches!(read(r#"{"G":0.9}"#), Outcome::Failed(_)));
 }
 
-/// The bench is a program that is called in each checkout; here a script that reports what lies there.
+/// The bench is a program that runs in each checkout; here a script that copies the report there.
 #[test]
 fn a_whole_comparison_plays_both_checkouts() {
     let folder = folder("whole");
     let bench = folder.join("bench");
     let script = "#!/bin/sh\nwhile [ $# -gt 0 ]; do\n  [ \"$1\" = --report ] && cp report.json \"$2\"\n  shift\ndone\n";
-    std::fs::write(&bench, script).expect("it can be written");
-    std::fs::set_permissions(&bench, std::fs::Permissions::from_mode(0o755)).expect("it is ours");
+    std::fs::write(&bench, script).expect("the file can be written");
+    std::fs::set_permissions(&bench, std::fs::Permissions::from_mode(0o755))
+        .expect("the test owns it");
     let site = folder.join("small.toml");
-    std::fs::write(&site, "").expect("it can be written");
+    std::fs::write(&site, "").expect("the file can be written");
     let checkout = |name: &str, worth: &str| {
         let checkout = folder.join(name);
         std::fs::create_dir_all(&checkout).expect("a folder can be made");
         let text =
             format!(r#"{{"G":{worth},"all":{{"late":0,"failed":0}},"breaks":{{}},"fault":null}}"#);
-        std::fs::write(checkout.join("report.json"), text).expect("it can be written");
+        std::fs::write(checkout.join("report.json"), text).expect("the file can be written");
         way(name, &checkout)
     };
     let options = Options {
@@ -122,7 +123,7 @@
 
     assert!(clean.expect("all is played"));
     assert!(matches!(alone, Err(Fault::Empty)));
-    std::fs::remove_dir_all(&folder).expect("it is ours");
+    std::fs::remove_dir_all(&folder).expect("the test owns it");
 }
 
 #[test]
--- a/crates/nutmegkeel_dev/tests/demo.rs
+++ b/crates/nutmegkeel_dev/tests/demo.rs
@@ -1,15 +1,15 @@
-//! The whole path as separate processes, under a planned stop, a kill, a start and a drain.
+//! The whole system as separate processes, under a graceful stop, a kill, a start and a drain.
 
 use std::process::Command;
 
 use serde_json::Value;
 
-/// Seconds for which the callers call.
+/// Duration of the callers' load, in seconds.
 const SECONDS: &str = "8";
 
-/// What a user would see: a feed that hangs or is cut, a download that stalls halfway, a filing
-/// that is lost or doubled. One balancer stops, one is killed, one starts, and the backend server
-/// that holds the feed drains, while callers open flows and file.
+/// Guards against a feed that hangs or is cut, a download that stalls, and a filing that is lost or
+/// runs twice. While callers open flows and file, one balancer stops, one is killed, one starts,
+/// and the backend server that holds the feed drains.
 #[test]
 fn callers_stay_connected_through_every_planned_change_and_a_kill() {
     let ran = Command::new(env!("CARGO_BIN_EXE_nutmegkeel_dev"))
@@ -32,8 +32,8 @@
     }
 }
 
-/// Every third packet was dropped because callers had leave to clear the bit by which balancers
-/// tell packets from frames (RFC 9287). Answers came only after a retransmission.
+/// Guards against dropped packets: every third one was lost until a retransmission, because callers
+/// were allowed to clear the bit by which balancers distinguish packets from frames (RFC 9287).
 #[test]
 fn no_packet_of_a_caller_is_taken_for_something_else() {
     let ran = Command::new(env!("CARGO_BIN_EXE_nutmegkeel_dev"))
--- a/crates/nutmegkeel_dev/tests/settling.rs
+++ b/crates/nutmegkeel_dev/tests/settling.rs
@@ -1,4 +1,4 @@
-//! How the demo waits for an operator's change.
+//! Waiting of the demo for an operator's change.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,9 +13,9 @@
     (1..=3).map(|number| SocketAddr::from(([127, 0, 0, 1], number))).collect()
 }
 
-/// The demo ended a few milliseconds after an operator had made a class: the second balancer was
-/// asked for it before the message with it had come, and said that it does not know it. It has the
-/// settling time to learn of it, as the others have.
+/// Guards against a demo that fails a few milliseconds after an operator created a class: a
+/// balancer that is queried before it received the class does not know it. It has the settling time
+/// to learn of the class.
 #[test]
 fn a_balancer_has_the_settling_time_to_learn_of_a_class() {
     let mut asked = 0;
@@ -30,7 +30,7 @@
     assert_eq!(asked, 3);
 }
 
-/// A balancer never learns of the class: it is named at the end of the settling time.
+/// The error after the settling time names a balancer that never learns of the class.
 #[test]
 fn a_balancer_that_never_learns_of_the_class_fails_the_demo() {
     let began = Instant::now();
@@ -44,7 +44,7 @@
     assert!(began.elapsed() >= SHORT);
 }
 
-/// A balancer that cannot be asked is a fault of its own, and no reason to wait.
+/// A balancer that cannot be queried is an error at once, not a reason to wait.
 #[test]
 fn a_balancer_that_does_not_answer_fails_the_demo_at_once() {
     let mut asked = 0;
--- a/crates/nutmegkeel_fake/src/soak.rs
+++ b/crates/nutmegkeel_fake/src/soak.rs
@@ -201,8 +201,8 @@
         Ok(())
     }
 
-    /// Checks that only recently disturbed processes are declared dead. Observers inside a partition
-    /// may declare any process dead.
+    /// Checks that only recently disturbed processes are declared dead. Observers inside a
+    /// partition may declare any process dead.
     fn check_deaths(&mut self) -> Result<(), Broken> {
         let now = self.fleet.now;
         let excused = |address: &SocketAddr| {
--- a/crates/nutmegkeel_fake/src/store.rs
+++ b/crates/nutmegkeel_fake/src/store.rs
@@ -172,8 +172,8 @@
         self.memory.calls()
     }
 
-    /// Restores the service from a backup that holds only `keys`, each with its value. All other keys
-    /// are lost, a new era begins, and revisions start over.
+    /// Restores the service from a backup that holds only `keys`, each with its value. All other
+    /// keys are lost, a new era begins, and revisions start over.
     pub fn restore(&self, keys: &[(&str, &[u8])]) {
         let mut state = self.memory.state();
         state.era.0 += 1;
--- a/models/at_most_once.pml
+++ b/models/at_most_once.pml
@@ -1,15 +1,15 @@
-/* A keyed request that two agents may both be asked to run: its caller sends it again, to the
- * other agent, after a loss, a death or a pause. The claim is created once in the platform's
- * service; its answer may be lost; the platform forgets it after KEPT steps of time; an agent may
- * pause or die between any two steps. Callers repeat a request within HORIZON. Looking at the clock
- * and sending count as one step: docs/PROOFS.md says what that leaves out.
+/* A keyed request that two agents may both receive: its caller retries at the other agent after a
+ * loss, a crash or a pause. An agent creates the claim once in the platform's store. The answer to
+ * that call may be lost, the store deletes the claim after KEPT time steps, and an agent may pause
+ * or crash between any two steps. Callers retry within HORIZON. Reading the clock and sending the
+ * request count as one step; docs/PROOFS.md describes what the model therefore leaves out.
  * Property: the request runs at most once.
  *
- * Guards, each of which can be switched off to see the bug that it prevents:
- *   NO_CLAIM     run without asking for a claim
- *   NO_CLOCK     act upon a claim whatever the time that passed
- *   NO_ARRIVAL   count that time from the claim instead of the request's arrival
- *   NO_IDENTITY  after a lost answer, take any claim that exists for one's own
+ * Guards that can be disabled to show the bug that each prevents:
+ *   NO_CLAIM     run the request without a claim
+ *   NO_CLOCK     run the request with a claim of any age
+ *   NO_ARRIVAL   measure that age from the claim instead of the arrival of the request
+ *   NO_IDENTITY  after a lost answer, treat any existing claim as one's own
  */
 #define AGENTS 2
 #define HORIZON 1
@@ -17,11 +17,11 @@
 #define KEPT 3
 #define NOBODY 255
 
-byte owner = NOBODY;   /* who holds the claim in the platform's service */
-byte age = 0;          /* of that claim */
-byte runs = 0;         /* how often the backend server ran the request */
-byte held[AGENTS];     /* time that each agent's own clock counts */
-byte step = 0;         /* time since the caller first sent the request */
+byte owner = NOBODY;   /* agent that holds the claim in the platform's store */
+byte age = 0;          /* time since the claim was created */
+byte runs = 0;         /* number of runs at the backend server */
+byte held[AGENTS];     /* time since arrival by each agent's own clock */
+byte step = 0;         /* time since the caller's first attempt */
 
 inline run_once() {
   runs++;
@@ -30,7 +30,7 @@
 
 proctype Agent(byte me) {
   bool ours = false;
-  atomic {                              /* the request arrives, or it never does */
+  atomic {                              /* the request arrives, or is lost */
     if
     :: step <= HORIZON -> held[me] = 0
     :: goto done
@@ -50,7 +50,7 @@
   };
   if
   :: skip                               /* the answer arrives */
-  :: ours = false;                      /* the answer is lost: read back */
+  :: ours = false;                      /* the answer is lost: read the claim back */
      atomic {
 #ifdef NO_IDENTITY
        ours = (owner != NOBODY)
@@ -58,10 +58,10 @@
        ours = (owner == me)
 #endif
      }
-  :: goto done                          /* the agent dies here */
+  :: goto done                          /* the agent crashes here */
   fi;
 #endif
-  /* a pause may fall here: other processes take any number of steps */
+  /* the agent may pause here while other processes take any number of steps */
   atomic {
     if
 #ifdef NO_CLOCK
@@ -76,7 +76,7 @@
 done: skip
 }
 
-/* Time passes, on the platform and on every agent's own clock alike. */
+/* Time advances equally at the platform and on every agent's own clock. */
 active proctype Clock() {
   do
   :: step < 6 ->
--- a/models/change.pml
+++ b/models/change.pml
@@ -1,15 +1,16 @@
-/* Two operators change the same class. Each reads, compares and swaps; calls and answers may be
- * lost, and the platform may be out of reach for good at any step. The value remembers the
- * identities of the changes it is made of. Property: what an operator is told is true, and of two
- * who expected the same revision at most one is accepted.
+/* Two operators change the same class by read and compare-and-swap. Calls and answers may be lost,
+ * and the platform may become unreachable for good at any step. The stored value contains the
+ * identities of the changes that it includes.
+ * Property: the result reported to an operator is true, and of two operators who expect the same
+ * revision at most one is accepted.
  *
- * Guard that can be switched off to see the bug that it prevents:
- *   NO_IDENTITY  do not look for one's own identity when reading back
+ * Guard that can be disabled to show the bug that it prevents:
+ *   NO_IDENTITY  do not look for one's own identity when reading the value back
  */
 #define OPERATORS 2
 
 byte revision = 0;
-bool written[OPERATORS];       /* identities inside the value */
+bool written[OPERATORS];       /* identities in the stored value */
 byte accepted = 0;
 
 proctype Operator(byte me) {
@@ -48,7 +49,7 @@
      :: !mine -> goto again
      :: in_doubt = true; goto again                   /* its answer is lost */
      fi
-  :: in_doubt = true; goto again                      /* the swap itself is lost, who can tell */
+  :: in_doubt = true; goto again                      /* the swap is lost, unknown to the operator */
   :: goto again                                       /* not sent */
   fi;
 told_accepted:
@@ -59,8 +60,8 @@
   goto done;
 give_up:
   if
-  :: in_doubt -> skip                                 /* told: may have run */
-  :: else -> assert(!written[me])                     /* told: not run */
+  :: in_doubt -> skip                                 /* reported: may have run */
+  :: else -> assert(!written[me])                     /* reported: not run */
   fi;
 done: skip
 }
