--- a/crates/nutmegkeel_core/tests/membership.rs
+++ b/crates/nutmegkeel_core/tests/membership.rs
@@ -20,16 +20,16 @@
 fn groups_that_formed_apart_meet() {
     // Arrange: two groups that hear nothing of each other while they form.
     let mut fleet = fleet_of(2, 4, 1);
-    fleet.island = [address(0), address(100), address(101)].into();
+    fleet.partitioned = [address(0), address(100), address(101)].into();
     fleet.run_for(3_000);
-    assert!(!fleet.agrees());
+    assert!(!fleet.has_converged());
 
     // Act
-    fleet.island.clear();
+    fleet.partitioned.clear();
     fleet.run_for(10_000);
 
     // Assert
-    assert!(fleet.agrees());
+    assert!(fleet.has_converged());
 }
 
 #[test]
@@ -40,8 +40,8 @@
 
         fleet.run_for(8_000);
 
-        assert!(fleet.knows_all(), "seed {seed}");
-        assert_eq!(fleet.gone, [], "seed {seed}");
+        assert!(fleet.has_full_membership(), "seed {seed}");
+        assert_eq!(fleet.declared_dead, [], "seed {seed}");
     }
 }
 
@@ -51,13 +51,13 @@
 fn a_dead_process_is_given_up_by_all_within_five_seconds() {
     let mut fleet = fleet_of(4, 16, 2);
     fleet.run_for(8_000);
-    assert!(fleet.agrees());
+    assert!(fleet.has_converged());
 
     fleet.halted.insert(address(103));
     fleet.run_for(5_000);
 
-    assert!(fleet.agrees());
-    assert!(fleet.gone.iter().all(|(_, dead)| *dead == address(103)));
+    assert!(fleet.has_converged());
+    assert!(fleet.declared_dead.iter().all(|(_, dead)| *dead == address(103)));
 }
 
 /// Every flow of a healthy agent is reset because a balancer that was frozen wakes and gives up
@@ -69,13 +69,13 @@
 
     fleet.halted.insert(address(0));
     fleet.run_for(20_000);
-    fleet.gone.clear();
+    fleet.declared_dead.clear();
     fleet.halted.remove(&address(0));
     fleet.run_for(10_000);
 
-    let by_the_frozen = fleet.gone.iter().filter(|(observer, _)| *observer == address(0));
+    let by_the_frozen = fleet.declared_dead.iter().filter(|(observer, _)| *observer == address(0));
     assert_eq!(by_the_frozen.count(), 0);
-    assert!(fleet.agrees());
+    assert!(fleet.has_converged());
 }
 
 /// A healthy agent's flows are reset: a balancer suspected it, was frozen before it heard the
@@ -97,12 +97,12 @@
 
     fleet.halted = [observer].into();
     fleet.run_for(20_000);
-    fleet.gone.clear();
+    fleet.declared_dead.clear();
     fleet.halted.clear();
     fleet.run_for(10_000);
 
-    assert_eq!(fleet.gone, []);
-    assert!(fleet.agrees());
+    assert_eq!(fleet.declared_dead, []);
+    assert!(fleet.has_converged());
 }
 
 /// A whole failure domain's feeds are reset although its servers are well: the balancers in a
@@ -115,14 +115,15 @@
     fleet.run_for(8_000);
     let minority = [address(0), address(3), address(100), address(103)];
 
-    fleet.island = minority.into();
+    fleet.partitioned = minority.into();
     fleet.run_for(30_000);
-    fleet.island.clear();
+    fleet.partitioned.clear();
     fleet.run_for(15_000);
 
-    let given_up_inside = fleet.gone.iter().filter(|(observer, _)| minority.contains(observer));
+    let given_up_inside =
+        fleet.declared_dead.iter().filter(|(observer, _)| minority.contains(observer));
     assert_eq!(given_up_inside.count(), 0);
-    assert!(fleet.agrees());
+    assert!(fleet.has_converged());
 }
 
 /// A healthy suspect is given up though it would answer: two dead ones before it, which are asked
@@ -176,7 +177,7 @@
     fleet.start(successor.clone());
     fleet.run_for(6_000);
 
-    assert!(fleet.agrees());
+    assert!(fleet.has_converged());
     for observer in fleet.peers.keys().filter(|peer| **peer != successor.address) {
         let view = fleet.peers[observer].membership();
         let known = view.living().find(|rumor| rumor.record.address == successor.address);
--- a/crates/nutmegkeel_core/tests/soak.rs
+++ b/crates/nutmegkeel_core/tests/soak.rs
@@ -11,7 +11,7 @@
     match soak::run(seed, FAULTS) {
         Ok(()) => true,
         Err(broken) => {
-            println!("seed {seed}: {}\n{:#?}", broken.promise, broken.record);
+            println!("seed {seed}: {}\n{:#?}", broken.invariant, broken.faults);
             false
         }
     }
--- a/crates/nutmegkeel_dev/src/measure/membership.rs
+++ b/crates/nutmegkeel_dev/src/measure/membership.rs
@@ -61,7 +61,7 @@
 
     let killed = fleet.now;
     fleet.halted.insert(address(size - 1));
-    while !fleet.agrees() && fleet.now.since(killed) < KNOWN_WITHIN_MS {
+    while !fleet.has_converged() && fleet.now.since(killed) < KNOWN_WITHIN_MS {
         fleet.run_for(TICK_MS);
     }
     let known_after_ms = fleet.now.since(killed);
--- a/crates/nutmegkeel_dev/src/measure/retries.rs
+++ b/crates/nutmegkeel_dev/src/measure/retries.rs
@@ -8,7 +8,7 @@
 use nutmegkeel_core::member::Instance;
 use nutmegkeel_core::placement::Hop;
 use nutmegkeel_fake::fleet::address;
-use nutmegkeel_fake::store::{Fate, Memory};
+use nutmegkeel_fake::store::{CallOutcome, Memory};
 use nutmegkeel_store::claims::Writer;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -76,7 +76,11 @@
         let group = &sends[next..next + size];
         if claims {
             if faults {
-                store.set_fates(vec![fate(&mut rng), fate(&mut rng), fate(&mut rng)]);
+                store.set_outcomes(vec![
+                    random_outcome(&mut rng),
+                    random_outcome(&mut rng),
+                    random_outcome(&mut rng),
+                ]);
             }
             let agent = rng.random_range(0..AGENTS);
             send_group(store, &mut writers[agent], agent, next, group, &mut counts);
@@ -90,12 +94,12 @@
     counts
 }
 
-fn fate(rng: &mut SmallRng) -> Fate {
+fn random_outcome(rng: &mut SmallRng) -> CallOutcome {
     match rng.random_range(0..10) {
-        0 => Fate::NotSent,
-        1 => Fate::AnswerLost,
-        2 => Fate::CallLost,
-        _ => Fate::Answered,
+        0 => CallOutcome::NotSent,
+        1 => CallOutcome::AnswerLost,
+        2 => CallOutcome::CallLost,
+        _ => CallOutcome::Answered,
     }
 }
 
--- a/crates/nutmegkeel_dev/src/soak.rs
+++ b/crates/nutmegkeel_dev/src/soak.rs
@@ -15,8 +15,8 @@
     let mut seed = first_seed;
     while began.elapsed() < Duration::from_secs(60 * minutes) {
         if let Err(broken) = soak::run(seed, FAULTS) {
-            println!("seed {seed}: {}", broken.promise);
-            for (millis, fault) in broken.record {
+            println!("seed {seed}: {}", broken.invariant);
+            for (millis, fault) in broken.faults {
                 println!("{millis:>8} ms {fault:?}");
             }
             return false;
--- a/crates/nutmegkeel_fake/src/soak.rs
+++ b/crates/nutmegkeel_fake/src/soak.rs
@@ -16,11 +16,11 @@
 const BALANCERS: u16 = 4;
 const AGENTS: u16 = 12;
 /// Time for all members of a new fleet to discover each other, in milliseconds.
-const FORM_MS: u64 = 15_000;
+const FORMATION_MS: u64 = 15_000;
 /// Time after the last fault within which all members must agree, in milliseconds.
-const HEAL_MS: u64 = 40_000;
+const RECOVERY_MS: u64 = 40_000;
 /// Time after a fault at a process in which others may still declare it dead, in milliseconds.
-const TROUBLE_MS: u64 = 30_000;
+const DISTURBANCE_MS: u64 = 30_000;
 
 /// A fault, or the end of one.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -45,40 +45,40 @@
 
 /// A violated invariant, with the faults that were injected before.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     /// Description of the violation.
-    pub promise: String,
+    pub invariant: String,
     /// Injected faults, each with its time in milliseconds.
-    pub record: Vec<(u64, Fault)>,
+    pub faults: Vec<(u64, Fault)>,
 }
 
 struct Run {
     fleet: Fleet,
     rng: SmallRng,
-    record: Vec<(u64, Fault)>,
+    faults: Vec<(u64, Fault)>,
     dead: BTreeMap<SocketAddr, Record>,
     frozen: Vec<SocketAddr>,
-    trouble: BTreeMap<SocketAddr, Time>,
+    disturbed_until: BTreeMap<SocketAddr, Time>,
     revisions: BTreeMap<SocketAddr, Revision>,
-    newest: u64,
-    seen: usize,
+    latest_revision: u64,
+    checked_deaths: usize,
 }
 
 /// Runs a simulated fleet through `faults` random faults.
 ///
 /// # Errors
 /// The first invariant that was violated, with the faults that led to it.
-pub fn run(seed: u64, faults: usize) -> Result<(), Broken> {
+pub fn run(seed: u64, faults: usize) -> Result<(), Violation> {
     let mut run = Run::open(seed);
-    run.pass(FORM_MS)?;
+    run.advance(FORMATION_MS)?;
     for _ in 0..faults {
-        let fault = run.draw();
-        run.inflict(fault);
+        let fault = run.random_fault();
+        run.inject(fault);
         let millis = run.rng.random_range(100..5_000);
-        run.pass(millis)?;
+        run.advance(millis)?;
     }
     run.end_all_faults();
-    run.pass(HEAL_MS)?;
+    run.advance(RECOVERY_MS)?;
     run.check_agreement()
 }
 
@@ -88,17 +88,17 @@
         Self {
             fleet: Fleet::open((0..BALANCERS).map(balancer).chain(agents).collect(), seed),
             rng: SmallRng::seed_from_u64(seed),
-            record: Vec::new(),
+            faults: Vec::new(),
             dead: BTreeMap::new(),
             frozen: Vec::new(),
-            trouble: BTreeMap::new(),
+            disturbed_until: BTreeMap::new(),
             revisions: BTreeMap::new(),
-            newest: 0,
-            seen: 0,
+            latest_revision: 0,
+            checked_deaths: 0,
         }
     }
 
-    fn draw(&mut self) -> Fault {
+    fn random_fault(&mut self) -> Fault {
         let halted = &self.fleet.halted;
         let running = self.fleet.peers.keys().filter(|peer| !halted.contains(*peer));
         let victim = running.copied().choose(&mut self.rng);
@@ -110,8 +110,8 @@
             (4, _) => Fault::Cut(self.domain()),
             (5, _) => Fault::Loss(self.rng.random_range(0..=10)),
             (6 | 7, Some(victim)) => {
-                self.newest += 1;
-                Fault::Change(victim, self.newest)
+                self.latest_revision += 1;
+                Fault::Change(victim, self.latest_revision)
             }
             _ => Fault::Heal,
         }
@@ -124,15 +124,15 @@
         inside.map(|record| record.address).collect()
     }
 
-    fn inflict(&mut self, fault: Fault) {
-        self.record.push((self.fleet.now.millis(), fault.clone()));
+    fn inject(&mut self, fault: Fault) {
+        self.faults.push((self.fleet.now.millis(), fault.clone()));
         match fault {
             Fault::Kill(address) => {
                 if let Some(peer) = self.fleet.peers.get(&address) {
                     self.dead.insert(address, peer.membership().me().clone());
                 }
                 self.fleet.halted.insert(address);
-                self.note_trouble(&[address]);
+                self.record_disturbance(&[address]);
             }
             Fault::Restart(address) => {
                 if let Some(earlier) = self.dead.remove(&address) {
@@ -140,28 +140,28 @@
                     self.fleet.start(Record { instance, version: 0, ..earlier });
                     self.revisions.remove(&address);
                 }
-                self.note_trouble(&[address]);
+                self.record_disturbance(&[address]);
             }
             Fault::Freeze(address) => {
                 self.fleet.halted.insert(address);
                 self.frozen.push(address);
-                self.note_trouble(&[address]);
+                self.record_disturbance(&[address]);
             }
             Fault::Thaw(address) => {
                 self.fleet.halted.remove(&address);
                 self.frozen.retain(|frozen| *frozen != address);
-                self.note_trouble(&[address]);
+                self.record_disturbance(&[address]);
             }
             Fault::Cut(inside) => {
-                let before: Vec<SocketAddr> = self.fleet.island.iter().copied().collect();
-                self.note_trouble(&before);
-                self.note_trouble(&inside);
-                self.fleet.island = inside.into_iter().collect();
+                let before: Vec<SocketAddr> = self.fleet.partitioned.iter().copied().collect();
+                self.record_disturbance(&before);
+                self.record_disturbance(&inside);
+                self.fleet.partitioned = inside.into_iter().collect();
             }
             Fault::Heal => {
-                let inside: Vec<SocketAddr> = self.fleet.island.iter().copied().collect();
-                self.note_trouble(&inside);
-                self.fleet.island.clear();
+                let inside: Vec<SocketAddr> = self.fleet.partitioned.iter().copied().collect();
+                self.record_disturbance(&inside);
+                self.fleet.partitioned.clear();
             }
             Fault::Loss(percent) => self.fleet.loss_percent = percent,
             Fault::Change(address, revision) => {
@@ -172,25 +172,25 @@
         }
     }
 
-    fn note_trouble(&mut self, addresses: &[SocketAddr]) {
+    fn record_disturbance(&mut self, addresses: &[SocketAddr]) {
         for address in addresses {
-            self.trouble.insert(*address, self.fleet.now.after(TROUBLE_MS));
+            self.disturbed_until.insert(*address, self.fleet.now.after(DISTURBANCE_MS));
         }
     }
 
     fn end_all_faults(&mut self) {
-        self.inflict(Fault::Loss(0));
-        self.inflict(Fault::Heal);
+        self.inject(Fault::Loss(0));
+        self.inject(Fault::Heal);
         for address in self.frozen.clone() {
-            self.inflict(Fault::Thaw(address));
+            self.inject(Fault::Thaw(address));
         }
         for address in self.dead.keys().copied().collect::<Vec<_>>() {
-            self.inflict(Fault::Restart(address));
+            self.inject(Fault::Restart(address));
         }
     }
 
     /// Advances time in small steps and checks the invariants after each.
-    fn pass(&mut self, millis: u64) -> Result<(), Broken> {
+    fn advance(&mut self, millis: u64) -> Result<(), Violation> {
         const STEP_MS: u64 = 250;
         let until = self.fleet.now.after(millis);
         while self.fleet.now < until {
@@ -203,31 +203,34 @@
 
     /// Checks that only recently disturbed processes are declared dead. Observers inside a
     /// partition may declare any process dead.
-    fn check_deaths(&mut self) -> Result<(), Broken> {
+    fn check_deaths(&mut self) -> Result<(), Violation> {
         let now = self.fleet.now;
         let excused = |address: &SocketAddr| {
-            let halted = self.fleet.halted.contains(address) || self.fleet.island.contains(address);
-            halted || self.trouble.get(address).is_some_and(|until| now <= *until)
+            let halted =
+                self.fleet.halted.contains(address) || self.fleet.partitioned.contains(address);
+            halted || self.disturbed_until.get(address).is_some_and(|until| now <= *until)
         };
-        let news = &self.fleet.gone[self.seen..];
-        let wrong = news
+        let deaths = &self.fleet.declared_dead[self.checked_deaths..];
+        let unexpected = deaths
             .iter()
-            .find(|(observer, gone)| !excused(gone) && !self.fleet.island.contains(observer));
-        if let Some((observer, gone)) = wrong {
-            return Err(self.broken(format!("{observer} declared {gone} dead, which was healthy")));
+            .find(|(observer, gone)| !excused(gone) && !self.fleet.partitioned.contains(observer));
+        if let Some((observer, gone)) = unexpected {
+            return Err(
+                self.violation(format!("{observer} declared {gone} dead, which was healthy"))
+            );
         }
-        self.seen = self.fleet.gone.len();
+        self.checked_deaths = self.fleet.declared_dead.len();
         Ok(())
     }
 
     /// Checks that no process returns to an earlier configuration.
-    fn check_revisions(&mut self) -> Result<(), Broken> {
+    fn check_revisions(&mut self) -> Result<(), Violation> {
         for (address, peer) in &self.fleet.peers {
             let revision = peer.book().revision();
             let before = self.revisions.insert(*address, revision).unwrap_or_default();
             if revision < before {
                 return Err(
-                    self.broken(format!("{address} reverted from {before:?} to {revision:?}"))
+                    self.violation(format!("{address} reverted from {before:?} to {revision:?}"))
                 );
             }
         }
@@ -236,20 +239,20 @@
 
     /// Checks that every process lists every other one, and that all have the newest configuration
     /// that any of them has.
-    fn check_agreement(&self) -> Result<(), Broken> {
-        if !self.fleet.knows_all() {
-            return Err(self.broken("membership is incomplete".to_owned()));
+    fn check_agreement(&self) -> Result<(), Violation> {
+        if !self.fleet.has_full_membership() {
+            return Err(self.violation("membership is incomplete".to_owned()));
         }
         let revisions = self.fleet.peers.values().map(|peer| peer.book().revision());
         let newest = revisions.clone().max().unwrap_or_default();
         let behind = revisions.filter(|revision| *revision < newest).count();
         if behind > 0 {
-            return Err(self.broken(format!("{behind} processes are behind {newest:?}")));
+            return Err(self.violation(format!("{behind} processes are behind {newest:?}")));
         }
         Ok(())
     }
 
-    fn broken(&self, promise: String) -> Broken {
-        Broken { promise, record: self.record.clone() }
+    fn violation(&self, invariant: String) -> Violation {
+        Violation { invariant, faults: self.faults.clone() }
     }
 }
--- a/crates/nutmegkeel_fake/src/store.rs
+++ b/crates/nutmegkeel_fake/src/store.rs
@@ -11,7 +11,7 @@
 
 /// Outcome of one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum CallOutcome {
     /// The call succeeds.
     Answered,
     /// The call is not sent, and the client knows it.
@@ -21,14 +21,14 @@
     /// The call is lost in transit; to the client this looks like a lost answer.
     CallLost,
     /// Another client writes this key and value just before the call.
-    AfterRival(String, Vec<u8>),
+    AfterConcurrentWrite(String, Vec<u8>),
 }
 
 #[derive(Debug, Default)]
 struct State {
     pairs: BTreeMap<String, Pair>,
     revision: u64,
-    fates: Vec<Fate>,
+    outcomes: Vec<CallOutcome>,
     writes: u64,
     calls: u64,
     era: Era,
@@ -43,9 +43,9 @@
 impl Memory {
     /// Creates an empty service whose next calls have these outcomes.
     #[must_use]
-    pub fn open(mut fates: Vec<Fate>) -> Self {
-        fates.reverse();
-        Self { state: Mutex::new(State { fates, ..State::default() }) }
+    pub fn open(mut outcomes: Vec<CallOutcome>) -> Self {
+        outcomes.reverse();
+        Self { state: Mutex::new(State { outcomes, ..State::default() }) }
     }
 
     /// Returns the number of writes that took effect.
@@ -61,9 +61,9 @@
     }
 
     /// Sets the outcomes of the next calls.
-    pub fn set_fates(&self, mut fates: Vec<Fate>) {
-        fates.reverse();
-        self.state().fates = fates;
+    pub fn set_outcomes(&self, mut outcomes: Vec<CallOutcome>) {
+        outcomes.reverse();
+        self.state().outcomes = outcomes;
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -73,16 +73,16 @@
     fn call<T>(&self, effect: impl FnOnce(&mut State) -> T) -> Result<T, Fault> {
         let mut state = self.state();
         state.calls += 1;
-        let fate = state.fates.pop().unwrap_or(Fate::Answered);
-        match fate {
-            Fate::Answered => Ok(effect(&mut state)),
-            Fate::NotSent => Err(Fault::NotSent("fake".to_owned())),
-            Fate::CallLost => Err(Fault::Lost("fake".to_owned())),
-            Fate::AnswerLost => {
+        let outcome = state.outcomes.pop().unwrap_or(CallOutcome::Answered);
+        match outcome {
+            CallOutcome::Answered => Ok(effect(&mut state)),
+            CallOutcome::NotSent => Err(Fault::NotSent("fake".to_owned())),
+            CallOutcome::CallLost => Err(Fault::Lost("fake".to_owned())),
+            CallOutcome::AnswerLost => {
                 effect(&mut state);
                 Err(Fault::Lost("fake".to_owned()))
             }
-            Fate::AfterRival(key, value) => {
+            CallOutcome::AfterConcurrentWrite(key, value) => {
                 state.put(key, value);
                 Ok(effect(&mut state))
             }
@@ -139,25 +139,29 @@
 #[derive(Debug)]
 pub struct Leased {
     memory: Memory,
-    kept: Mutex<Kept>,
+    renewal: Mutex<Kept>,
     grants: Mutex<u64>,
 }
 
 impl Leased {
     /// Creates an empty service whose next calls have these outcomes.
     #[must_use]
-    pub fn open(fates: Vec<Fate>) -> Self {
-        Self { memory: Memory::open(fates), kept: Mutex::new(Kept::Renewed), grants: Mutex::new(0) }
+    pub fn open(outcomes: Vec<CallOutcome>) -> Self {
+        Self {
+            memory: Memory::open(outcomes),
+            renewal: Mutex::new(Kept::Renewed),
+            grants: Mutex::new(0),
+        }
     }
 
     /// Sets the outcomes of the next calls.
-    pub fn set_fates(&self, fates: Vec<Fate>) {
-        self.memory.set_fates(fates);
+    pub fn set_outcomes(&self, outcomes: Vec<CallOutcome>) {
+        self.memory.set_outcomes(outcomes);
     }
 
     /// Sets the result of all later lease renewals.
-    pub fn set_kept(&self, kept: Kept) {
-        *lock(&self.kept) = kept;
+    pub fn set_renewal(&self, renewal: Kept) {
+        *lock(&self.renewal) = renewal;
     }
 
     /// Returns the number of writes that took effect.
@@ -225,7 +229,7 @@
     }
 
     fn keep(&self, _lease: Lease) -> Result<Kept, Fault> {
-        Ok(*lock(&self.kept))
+        Ok(*lock(&self.renewal))
     }
 
     fn era(&self) -> Era {
--- a/crates/nutmegkeel_store/tests/claims.rs
+++ b/crates/nutmegkeel_store/tests/claims.rs
@@ -6,7 +6,7 @@
 use nutmegkeel_core::member::Instance;
 use nutmegkeel_core::placement::Hop;
 use nutmegkeel_fake::fleet::address;
-use nutmegkeel_fake::store::{Fate, Memory};
+use nutmegkeel_fake::store::{CallOutcome, Memory};
 use nutmegkeel_store::claims::Writer;
 
 const DEADLINE: Time = Time::from_millis(5_000);
@@ -60,14 +60,14 @@
 /// was lost after the write took effect. Reading it back shows that the claim is ours.
 #[test]
 fn a_lost_answer_is_resolved_by_reading_back() {
-    let store = Memory::open(vec![Fate::Answered, Fate::AnswerLost]);
+    let store = Memory::open(vec![CallOutcome::Answered, CallOutcome::AnswerLost]);
 
     assert_eq!(write(&store, &[claim(1, 1, "filing")]), [Outcome::Ours]);
 }
 
 #[test]
 fn a_call_that_was_lost_is_made_again() {
-    let store = Memory::open(vec![Fate::Answered, Fate::CallLost]);
+    let store = Memory::open(vec![CallOutcome::Answered, CallOutcome::CallLost]);
 
     assert_eq!(write(&store, &[claim(1, 1, "filing")]), [Outcome::Ours]);
     assert_eq!(store.writes(), 1);
@@ -77,7 +77,8 @@
 /// the filing must not run; nobody may say that it did.
 #[test]
 fn a_claim_in_doubt_does_not_run() {
-    let store = Memory::open(vec![Fate::Answered, Fate::AnswerLost, Fate::CallLost]);
+    let store =
+        Memory::open(vec![CallOutcome::Answered, CallOutcome::AnswerLost, CallOutcome::CallLost]);
     let claim = claim(1, 1, "filing");
     let mut ledger = Ledger::default();
     ledger.ask(claim, DEADLINE);
@@ -92,7 +93,7 @@
 
 #[test]
 fn a_platform_that_is_down_writes_nothing() {
-    let store = Memory::open(vec![Fate::NotSent]);
+    let store = Memory::open(vec![CallOutcome::NotSent]);
 
     assert_eq!(write(&store, &[claim(1, 1, "filing")]), [Outcome::NotWritten]);
 }
--- a/crates/nutmegkeel_store/tests/classes.rs
+++ b/crates/nutmegkeel_store/tests/classes.rs
@@ -6,7 +6,7 @@
 use nutmegkeel_core::class::Target;
 use nutmegkeel_core::clock::Time;
 use nutmegkeel_core::configuration::{Entry, Revision};
-use nutmegkeel_fake::store::{Fate, Memory};
+use nutmegkeel_fake::store::{CallOutcome, Memory};
 use nutmegkeel_store::classes::{self, PREFIX};
 use nutmegkeel_store::kv::Store;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -34,14 +34,14 @@
 }
 
 fn stored(store: &Memory) -> Vec<Entry> {
-    store.set_fates(Vec::new());
+    store.set_outcomes(Vec::new());
     classes::read(store).expect("the fake answers")
 }
 
-fn rival(leave_within_ms: u64) -> Fate {
+fn rival(leave_within_ms: u64) -> CallOutcome {
     let value = Value { target: Some(target(leave_within_ms)), changes: vec!["rival".into()] };
     let value = serde_json::to_vec(&value).expect("a value is JSON");
-    Fate::AfterRival(format!("{PREFIX}intake"), value)
+    CallOutcome::AfterConcurrentWrite(format!("{PREFIX}intake"), value)
 }
 
 #[test]
@@ -58,7 +58,7 @@
 /// between: the answer was lost after the write took effect. Its identity inside the value tells.
 #[test]
 fn a_lost_answer_is_resolved_and_written_once() {
-    let store = Memory::open(vec![Fate::Answered, Fate::AnswerLost]);
+    let store = Memory::open(vec![CallOutcome::Answered, CallOutcome::AnswerLost]);
 
     let ended = change(&store, request("a", 900, Some(0)));
 
@@ -70,7 +70,7 @@
 /// One must win, and the other must learn the revision that it lost to.
 #[test]
 fn of_two_racing_operators_one_gets_a_conflict() {
-    let store = Memory::open(vec![Fate::Answered, rival(700)]);
+    let store = Memory::open(vec![CallOutcome::Answered, rival(700)]);
 
     let ended = change(&store, request("a", 900, Some(0)));
 
@@ -111,15 +111,15 @@
 
 #[test]
 fn a_platform_that_stays_down_means_not_run() {
-    let store = Memory::open(vec![Fate::NotSent; 100]);
+    let store = Memory::open(vec![CallOutcome::NotSent; 100]);
 
     assert_eq!(change(&store, request("a", 900, Some(0))), Action::NotRun);
 }
 
 #[test]
 fn a_platform_that_goes_away_after_the_write_means_may_have_run() {
-    let mut fates = vec![Fate::Answered, Fate::AnswerLost];
-    fates.extend(vec![Fate::NotSent; 100]);
+    let mut fates = vec![CallOutcome::Answered, CallOutcome::AnswerLost];
+    fates.extend(vec![CallOutcome::NotSent; 100]);
     let store = Memory::open(fates);
 
     assert_eq!(change(&store, request("a", 900, Some(0))), Action::MayHaveRun);
@@ -129,16 +129,16 @@
 #[derive(Clone, Debug)]
 struct Step {
     operator: usize,
-    fate: Fate,
+    fate: CallOutcome,
 }
 
 impl Arbitrary for Step {
     fn arbitrary(source: &mut Gen) -> Self {
         let fate = match u8::arbitrary(source) % 6 {
-            0 => Fate::NotSent,
-            1 => Fate::AnswerLost,
-            2 => Fate::CallLost,
-            _ => Fate::Answered,
+            0 => CallOutcome::NotSent,
+            1 => CallOutcome::AnswerLost,
+            2 => CallOutcome::CallLost,
+            _ => CallOutcome::Answered,
         };
         Self { operator: usize::from(bool::arbitrary(source)), fate }
     }
@@ -158,7 +158,7 @@
         if is_final(action) {
             continue;
         }
-        store.set_fates(vec![step.fate]);
+        store.set_outcomes(vec![step.fate]);
         let event = classes::carry_out(&store, "intake", action.clone(), |_| {});
         if let Some(event) = event {
             *action = change.handle(now, event);
@@ -183,7 +183,7 @@
 }
 
 fn written_changes(store: &Memory) -> Vec<nutmegkeel_core::change::Id> {
-    store.set_fates(Vec::new());
+    store.set_outcomes(Vec::new());
     let pair = store.get(&format!("{PREFIX}intake")).expect("the fake answers");
     let value = pair.and_then(|pair| serde_json::from_slice::<Value>(&pair.value).ok());
     value.map_or_else(Vec::new, |value| value.changes)
--- a/crates/nutmegkeel_store/tests/document.rs
+++ b/crates/nutmegkeel_store/tests/document.rs
@@ -1,7 +1,7 @@
 //! A key that one process writes again and again.
 
 use nutmegkeel_core::clock::Time;
-use nutmegkeel_fake::store::{Fate, Leased};
+use nutmegkeel_fake::store::{CallOutcome, Leased};
 use nutmegkeel_store::document::Document;
 use nutmegkeel_store::kv::{Kept, Store};
 
@@ -50,7 +50,7 @@
     let store = Leased::open(Vec::new());
     let mut document = document();
     document.write(&store, at(0), b"one").expect("the store answers");
-    store.set_fates(vec![Fate::AnswerLost]);
+    store.set_outcomes(vec![CallOutcome::AnswerLost]);
 
     let lost = document.write(&store, at(3_000), b"two");
     let next = document.write(&store, at(6_000), b"three");
@@ -76,7 +76,7 @@
     let store = Leased::open(Vec::new());
     let mut document = document();
     document.write(&store, at(0), b"one").expect("the store answers");
-    store.set_kept(Kept::Ended);
+    store.set_renewal(Kept::Ended);
 
     let kept = document.keep(&store, at(50_000));
 
--- a/crates/nutmegkeel_store/tests/group.rs
+++ b/crates/nutmegkeel_store/tests/group.rs
@@ -1,7 +1,7 @@
 //! Many keys of many owners, written by few processes.
 
 use nutmegkeel_core::clock::Time;
-use nutmegkeel_fake::store::{Fate, Leased};
+use nutmegkeel_fake::store::{CallOutcome, Leased};
 use nutmegkeel_store::group::{Entry, Group};
 use nutmegkeel_store::kv::{Kept, Store};
 
@@ -69,7 +69,7 @@
     let store = Leased::open(Vec::new());
     let mut group = group();
     group.write(&store, at(0), &[entry(1, 1), entry(2, 1)]).expect("the store answers");
-    store.set_fates(vec![Fate::AnswerLost]);
+    store.set_outcomes(vec![CallOutcome::AnswerLost]);
 
     let lost = group.write(&store, at(1_000), &[entry(1, 2), entry(2, 2)]);
     let next = group.write(&store, at(2_000), &[entry(1, 3), entry(2, 2)]);
@@ -85,7 +85,7 @@
     let store = Leased::open(Vec::new());
     let mut group = group();
     group.write(&store, at(0), &[entry(1, 1), entry(2, 1)]).expect("the store answers");
-    store.set_fates(vec![Fate::AfterRival(entry(1, 2).key, vec![2])]);
+    store.set_outcomes(vec![CallOutcome::AfterConcurrentWrite(entry(1, 2).key, vec![2])]);
 
     let written = group.write(&store, at(1_000), &[entry(1, 3), entry(2, 3)]);
 
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_value_that_cannot_be_read_is_replaced() {
-    let store = Leased::open(vec![Fate::AfterRival(entry(1, 0).key, Vec::new())]);
+    let store = Leased::open(vec![CallOutcome::AfterConcurrentWrite(entry(1, 0).key, Vec::new())]);
 
     let written = group().write(&store, at(0), &[entry(1, 1)]);
 
@@ -108,7 +108,7 @@
     let store = Leased::open(Vec::new());
     let mut group = group();
     group.write(&store, at(0), &[entry(1, 1)]).expect("the store answers");
-    store.set_kept(Kept::Ended);
+    store.set_renewal(Kept::Ended);
 
     let written = group.write(&store, at(50_000), &[entry(1, 2)]);
 
--- a/crates/nutmegkeel_store/tests/registration.rs
+++ b/crates/nutmegkeel_store/tests/registration.rs
@@ -1,7 +1,7 @@
 //! A process's entry in the store.
 
 use nutmegkeel_core::clock::Time;
-use nutmegkeel_fake::store::{Fate, Leased};
+use nutmegkeel_fake::store::{CallOutcome, Leased};
 use nutmegkeel_store::kv::{Kept, Store};
 use nutmegkeel_store::registration::{RENEW_MS, Registration};
 
@@ -71,7 +71,7 @@
     let store = Leased::open(Vec::new());
     let mut entry = entry();
     entry.step(&store, at(0)).expect("the store answers");
-    store.set_kept(Kept::Ended);
+    store.set_renewal(Kept::Ended);
 
     entry.step(&store, at(RENEW_MS)).expect("the store answers");
 
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_write_whose_answer_was_lost_is_tried_again() {
-    let store = Leased::open(vec![Fate::Answered, Fate::AnswerLost]);
+    let store = Leased::open(vec![CallOutcome::Answered, CallOutcome::AnswerLost]);
     let mut entry = entry();
 
     let lost = entry.step(&store, at(0));
