--- a/crates/nutmegkeel/tests/soak.rs
+++ b/crates/nutmegkeel/tests/soak.rs
@@ -16,9 +16,9 @@
 
 fn assert_kept(report: &Report) {
     assert!(
-        report.broken.is_empty(),
+        report.violations.is_empty(),
         "{:#?} after {:#?}; logs in {:?}",
-        report.broken,
+        report.violations,
         report.faults,
         report.folder
     );
--- a/crates/nutmegkeel_dev/src/soak.rs
+++ b/crates/nutmegkeel_dev/src/soak.rs
@@ -7,47 +7,47 @@
 use nutmegkeel_fake::soak;
 
 /// Number of faults injected in one run.
-const FAULTS: usize = 60;
+const FAULTS_PER_RUN: usize = 60;
 
 /// Runs consecutive seeds for `minutes`; returns true when no invariant was violated.
 pub fn run(first_seed: u64, minutes: u64) -> bool {
     let began = Instant::now();
     let mut seed = first_seed;
     while began.elapsed() < Duration::from_secs(60 * minutes) {
-        if let Err(broken) = soak::run(seed, FAULTS) {
-            println!("seed {seed}: {}", broken.invariant);
-            for (millis, fault) in broken.faults {
+        if let Err(violation) = soak::run(seed, FAULTS_PER_RUN) {
+            println!("seed {seed}: {}", violation.invariant);
+            for (millis, fault) in violation.faults {
                 println!("{millis:>8} ms {fault:?}");
             }
             return false;
         }
         seed += 1;
     }
-    println!("{} runs of {FAULTS} faults each, no invariant violated", seed - first_seed);
+    println!("{} runs of {FAULTS_PER_RUN} faults each, no invariant violated", seed - first_seed);
     true
 }
 
 /// Number of concurrent runs of the real programs; each has ten processes.
-const AT_ONCE: u64 = 6;
+const CONCURRENT_RUNS: u64 = 6;
 
 /// Loopback networks that runs use in turn, since stand-ins keep their addresses until the end.
 /// Networks outside this range belong to the tests, which may run at the same time: a process whose
 /// metrics port is taken exits at once.
-const NETS: std::ops::Range<u64> = 20..250;
+const NETWORKS: std::ops::Range<u64> = 20..250;
 
 /// Runs `count` seeds of the real programs; returns true when no invariant was violated.
 ///
 /// # Errors
 /// When the path of the running program is unknown, or a run panics.
 pub fn run_processes(first_seed: u64, count: u64, seconds: u64) -> std::io::Result<bool> {
-    let program = processes::program_beside()?;
+    let program = processes::program_path()?;
     let mut good = true;
     let mut seed = first_seed;
     while seed < first_seed + count {
-        let until = (seed + AT_ONCE).min(first_seed + count);
+        let until = (seed + CONCURRENT_RUNS).min(first_seed + count);
         let runs: Vec<_> = (seed..until)
             .map(|seed| {
-                let net = net_of(seed);
+                let net = network_of(seed);
                 let options =
                     processes::Options { program: program.clone(), seed, seconds, net, load: true };
                 std::thread::spawn(move || processes::run(&options))
@@ -62,8 +62,8 @@
     Ok(good)
 }
 
-fn net_of(seed: u64) -> u8 {
-    let place = NETS.start + seed % (NETS.end - NETS.start);
+fn network_of(seed: u64) -> u8 {
+    let place = NETWORKS.start + seed % (NETWORKS.end - NETWORKS.start);
     u8::try_from(place).unwrap_or(u8::MAX)
 }
 
@@ -74,12 +74,12 @@
         report.answered,
         report.unanswered,
         report.faults.len(),
-        report.broken.len()
+        report.violations.len()
     );
-    for broken in &report.broken {
-        println!("  violated: {broken}");
+    for violation in &report.violations {
+        println!("  violated: {violation}");
     }
-    if report.broken.is_empty() {
+    if report.violations.is_empty() {
         return true;
     }
     for fault in &report.faults {
--- a/crates/nutmegkeel_dev/src/soak/processes.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes.rs
@@ -3,8 +3,8 @@
 
 mod caller;
 mod chaos;
+mod checker;
 mod load;
-mod truth;
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -17,8 +17,8 @@
 
 use caller::{Caller, Demand};
 use chaos::Chaos;
+use checker::Checker;
 use load::Load;
-use truth::Truth;
 
 /// First port of every run; concurrent runs differ in their addresses.
 const PORT: u16 = 22_000;
@@ -27,13 +27,13 @@
 const CLIENTS: u8 = 4;
 
 /// Index of the heavy caller among the clients, if the run has one.
-const HEAVY: u8 = CLIENTS;
+const HEAVY_CLIENT: u8 = CLIENTS;
 
 /// Index of the client that checks recovery after the last fault.
-const LAST: u8 = CLIENTS + 1;
+const FINAL_CLIENT: u8 = CLIENTS + 1;
 
 /// Time limit for all processes to become ready at the start, and for a killed process to exit.
-const SETTLE: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Conditions in the settings of a run with load faults.
 const CONDITIONS: [Condition; 2] = [Condition::Contention, Condition::HiddenFaults];
@@ -63,7 +63,7 @@
     /// Number of requests that were not answered.
     pub unanswered: u64,
     /// Invariants that were violated.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Injected faults in order, each with its time in seconds.
     pub faults: Vec<String>,
     /// Directory of the settings and logs.
@@ -87,32 +87,32 @@
         services: vec!["desk", "desk", "desk", "vault", "vault"],
         conditions: if options.load { CONDITIONS.to_vec() } else { Vec::new() },
     });
-    let truth = Arc::new(Truth::open(&fleet.routes()));
+    let checker = Arc::new(Checker::open(&fleet.routes()));
     let load = Arc::new(Load::open(options.load));
-    let mut chaos = Chaos::open(options.seed, fleet, Arc::clone(&truth), Arc::clone(&load));
-    let clients = spawn_clients(chaos.fleet(), &truth, &load);
+    let mut chaos = Chaos::open(options.seed, fleet, Arc::clone(&checker), Arc::clone(&load));
+    let clients = spawn_clients(chaos.fleet(), &checker, &load);
     let until = Instant::now() + Duration::from_secs(options.seconds);
     while Instant::now() < until {
-        chaos.fault();
+        chaos.inject();
     }
-    chaos.heal();
+    chaos.end_faults();
     if options.load {
-        chaos.press();
+        chaos.run_under_load();
     }
     load.end();
     for client in clients {
         if client.join().is_err() {
-            truth.break_promise("a client of the soak test panicked".to_owned());
+            checker.record_violation("a client of the soak test panicked".to_owned());
         }
     }
     let faults = chaos.check_recovery();
-    let (answered, unanswered, broken) = truth.sum_up();
-    Report { seed: options.seed, answered, unanswered, broken, faults, folder }
+    let (answered, unanswered, violations) = checker.totals();
+    Report { seed: options.seed, answered, unanswered, violations, faults, folder }
 }
 
 fn spawn_clients(
     fleet: &Fleet,
-    truth: &Arc<Truth>,
+    checker: &Arc<Checker>,
     load: &Arc<Load>,
 ) -> Vec<thread::JoinHandle<()>> {
     let clients = if load.is_varied() { CLIENTS + 1 } else { CLIENTS };
@@ -120,11 +120,11 @@
         let caller = Caller::open(
             Client::bind(fleet.client(number), fleet.ports),
             fleet.balancers(),
-            Arc::clone(truth),
+            Arc::clone(checker),
             Arc::clone(load),
-            if number == HEAVY { Demand::Heavy } else { Demand::Usual },
+            if number == HEAVY_CLIENT { Demand::Heavy } else { Demand::Usual },
         );
-        thread::spawn(move || caller.call())
+        thread::spawn(move || caller.run())
     };
     (0..clients).map(spawn).collect()
 }
@@ -133,7 +133,7 @@
 ///
 /// # Errors
 /// When the path of the running program is unknown.
-pub fn program_beside() -> std::io::Result<PathBuf> {
+pub fn program_path() -> std::io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     Ok(own.parent().unwrap_or_else(|| Path::new(".")).join("nutmegkeel"))
 }
--- a/crates/nutmegkeel_dev/src/soak/processes/caller.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/caller.rs
@@ -8,24 +8,24 @@
 use nutmegkeel_standin::client::{Client, Open, Outcome};
 use nutmegkeel_standin::host::TIMEOUT_MS;
 
+use super::checker::{Checker, Observation};
 use super::load::Load;
-use super::truth::{Seen, Truth};
 
 /// Pause of a client between two rounds. Four clients then send a few hundred requests a second and
 /// leave processor time to the processes under test.
-const BREATH: Duration = Duration::from_millis(10);
+const ROUND_PAUSE: Duration = Duration::from_millis(10);
 
 /// First port of a client.
 const FIRST_PORT: u16 = 30_000;
 
 /// Time limit for the second request on a short flow, short enough to abandon it in progress.
-const BEGUN: Duration = Duration::from_millis(50);
+const ABANDON_AFTER: Duration = Duration::from_millis(50);
 
 /// Time limit for an answer in a run without load faults.
-const PATIENCE: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time limit for a final answer: the deadline of the route plus a margin for a busy host.
-const FINAL: Duration = Duration::from_millis(TIMEOUT_MS + 250);
+const FINAL_ANSWER_TIMEOUT: Duration = Duration::from_millis(TIMEOUT_MS + 250);
 
 /// Concurrent flows of a usual client in a burst; four clients fill the slots of three servers
 /// twice.
@@ -47,14 +47,14 @@
 pub(super) struct Caller {
     client: Client,
     balancers: Vec<Ipv4Addr>,
-    truth: Arc<Truth>,
+    checker: Arc<Checker>,
     load: Arc<Load>,
     demand: Demand,
     next_port: u16,
 }
 
 /// A flow that a client keeps open.
-struct Long {
+struct LongFlow {
     open: Open,
     port: u16,
     holder: String,
@@ -64,15 +64,15 @@
     pub(super) fn open(
         client: Client,
         balancers: Vec<Ipv4Addr>,
-        truth: Arc<Truth>,
+        checker: Arc<Checker>,
         load: Arc<Load>,
         demand: Demand,
     ) -> Self {
-        truth.expect(client.address());
-        Self { client, balancers, truth, load, demand, next_port: FIRST_PORT }
+        checker.expect_answer(client.address());
+        Self { client, balancers, checker, load, demand, next_port: FIRST_PORT }
     }
 
-    pub(super) fn call(mut self) {
+    pub(super) fn run(mut self) {
         let mut long = None;
         let mut turn = 0_usize;
         while !self.load.is_over() {
@@ -80,13 +80,13 @@
             self.balancers.rotate_left(1);
             let usual_port = 443 + u16::from(turn.is_multiple_of(3));
             match (self.demand, self.load.burst()) {
-                (Demand::Heavy, _) if !self.load.is_heavy() => thread::sleep(BREATH),
+                (Demand::Heavy, _) if !self.load.has_heavy_caller() => thread::sleep(ROUND_PAUSE),
                 (Demand::Heavy, burst) => {
-                    self.ask_at_once(HEAVY_FLOWS, burst.unwrap_or(usual_port));
+                    self.request_concurrently(HEAVY_FLOWS, burst.unwrap_or(usual_port));
                 }
-                (Demand::Usual, Some(port)) => self.ask_at_once(BURST_FLOWS, port),
+                (Demand::Usual, Some(port)) => self.request_concurrently(BURST_FLOWS, port),
                 (Demand::Usual, None) => {
-                    thread::sleep(BREATH);
+                    thread::sleep(ROUND_PAUSE);
                     long = self.round(usual_port, long);
                 }
             }
@@ -94,30 +94,30 @@
     }
 
     /// Opens a short flow and uses the long one; returns the long one if it is still usable.
-    fn round(&mut self, port: u16, long: Option<Long>) -> Option<Long> {
-        let Some((mut open, holder)) = self.open_and_ask(port) else { return long };
-        let Some(mut kept) = long else { return Some(Long { open, port, holder }) };
-        self.client.request(&mut open, &self.balancers, BEGUN);
+    fn round(&mut self, port: u16, long: Option<LongFlow>) -> Option<LongFlow> {
+        let Some((mut open, holder)) = self.open_and_request(port) else { return long };
+        let Some(mut kept) = long else { return Some(LongFlow { open, port, holder }) };
+        self.client.request(&mut open, &self.balancers, ABANDON_AFTER);
         if self.load.is_varied() {
             self.client.close(&open, self.balancers[0]);
         }
-        self.use_long(&mut kept).then_some(kept)
+        self.request_on_long_flow(&mut kept).then_some(kept)
     }
 
-    fn open_and_ask(&mut self, port: u16) -> Option<(Open, String)> {
-        let from_port = self.take_ports(1);
+    fn open_and_request(&mut self, port: u16) -> Option<(Open, String)> {
+        let from_port = self.allocate_ports(1);
         let sent = Instant::now();
         let opened = self.client.open(from_port, port, &self.balancers);
         let asked = opened.map(|mut open| {
-            (self.client.request(&mut open, &self.balancers, self.patience()), open)
+            (self.client.request(&mut open, &self.balancers, self.timeout()), open)
         });
         match asked {
             Ok((Outcome::Answered(id), open)) => {
-                self.truth.answered(self.client.address(), port, &id, sent);
+                self.checker.record_answer(self.client.address(), port, &id, sent);
                 Some((open, id))
             }
             Ok((outcome, _)) | Err(outcome) => {
-                self.lost(port, sent, &outcome);
+                self.record_unanswered(port, sent, &outcome);
                 None
             }
         }
@@ -127,59 +127,67 @@
     ///
     /// Pauses if no request was answered: without a route in force refusals come at once, and an
     /// immediate retry would only use processor time.
-    fn ask_at_once(&mut self, flows: u16, port: u16) {
-        let first = self.take_ports(flows);
+    fn request_concurrently(&mut self, flows: u16, port: u16) {
+        let first = self.allocate_ports(flows);
         let sent = Instant::now();
         let ports = first..first + flows;
         let mut is_served = false;
-        for outcome in self.client.ask_at_once(ports, port, &self.balancers, FINAL) {
+        for outcome in self.client.ask_at_once(ports, port, &self.balancers, FINAL_ANSWER_TIMEOUT) {
             match outcome {
                 Outcome::Answered(id) => {
                     is_served = true;
-                    self.truth.answered(self.client.address(), port, &id, sent);
+                    self.checker.record_answer(self.client.address(), port, &id, sent);
                 }
-                lost => self.lost(port, sent, &lost),
+                lost => self.record_unanswered(port, sent, &lost),
             }
         }
         if !is_served {
-            thread::sleep(BREATH);
+            thread::sleep(ROUND_PAUSE);
         }
     }
 
     /// Sends a request on the long flow; returns whether the flow is still usable.
-    fn use_long(&self, long: &mut Long) -> bool {
+    fn request_on_long_flow(&self, long: &mut LongFlow) -> bool {
         let (port, holder) = (long.port, long.holder.as_str());
         let sent = Instant::now();
-        match self.client.request(&mut long.open, &self.balancers, self.patience()) {
+        match self.client.request(&mut long.open, &self.balancers, self.timeout()) {
             Outcome::Answered(id) => {
-                self.truth.judge(&Seen::Long { port, holder, answered_by: Some(&id) });
+                self.checker.check_long_flow(&Observation::LongFlow {
+                    port,
+                    holder,
+                    answered_by: Some(&id),
+                });
                 true
             }
             Outcome::Reset => {
-                self.truth.judge(&Seen::Long { port, holder, answered_by: None });
+                self.checker.check_long_flow(&Observation::LongFlow {
+                    port,
+                    holder,
+                    answered_by: None,
+                });
                 false
             }
             Outcome::Silence => {
-                self.lost(port, sent, &Outcome::Silence);
+                self.record_unanswered(port, sent, &Outcome::Silence);
                 true
             }
         }
     }
 
     /// Records a request that was refused or got no answer.
-    fn lost(&self, port: u16, sent: Instant, outcome: &Outcome) {
+    fn record_unanswered(&self, port: u16, sent: Instant, outcome: &Outcome) {
         if self.load.is_varied() && *outcome == Outcome::Silence {
-            self.truth.silent(port, sent);
+            self.checker.record_timeout(port, sent);
         } else {
-            self.truth.unanswered();
+            self.checker.record_unanswered();
         }
     }
 
-    fn patience(&self) -> Duration {
-        if self.load.is_varied() { FINAL } else { PATIENCE }
+    fn timeout(&self) -> Duration {
+        if self.load.is_varied() { FINAL_ANSWER_TIMEOUT } else { ANSWER_TIMEOUT }
     }
 
-    fn take_ports(&mut self, count: u16) -> u16 {
+    fn allocate_ports(&mut self, count: u16) -> u16 {
         let is_left = self.next_port.checked_add(2 * count).is_some();
         let first = if is_left { self.next_port } else { FIRST_PORT };
         self.next_port = first + count;
--- a/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
@@ -12,9 +12,9 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
+use super::checker::{CONFIG_APPLY, Checker};
 use super::load::Load;
-use super::truth::{IN_FORCE, Truth};
-use super::{LAST, SETTLE};
+use super::{FINAL_CLIENT, READY_TIMEOUT};
 
 /// Ports of the two classes of requests.
 const PORTS: [u16; 2] = [443, 444];
@@ -28,7 +28,7 @@
 const SLOW_MS: std::ops::RangeInclusive<u64> = 50..=510;
 
 /// Duration of the final load phase, in which no process is disturbed.
-const LOADED: Duration = Duration::from_secs(4);
+const LOAD_PHASE: Duration = Duration::from_secs(4);
 
 /// Time after the last fault within which the system must recover.
 const RECOVERY: Duration = Duration::from_secs(6);
@@ -39,30 +39,30 @@
     began: Instant,
     version: u64,
     /// Hosts whose process is suspended.
-    stopped: Vec<Ipv4Addr>,
+    frozen: Vec<Ipv4Addr>,
     faults: Vec<String>,
     fleet: Fleet,
-    truth: Arc<Truth>,
+    checker: Arc<Checker>,
     load: Arc<Load>,
 }
 
 impl Chaos {
     /// Creates the fault injector of a seed once the fleet is ready.
-    pub(super) fn open(seed: u64, fleet: Fleet, truth: Arc<Truth>, load: Arc<Load>) -> Self {
-        if !fleet.is_ready_within(SETTLE) {
-            truth.break_promise("the fleet was not ready at the start".to_owned());
+    pub(super) fn open(seed: u64, fleet: Fleet, checker: Arc<Checker>, load: Arc<Load>) -> Self {
+        if !fleet.is_ready_within(READY_TIMEOUT) {
+            checker.record_violation("the fleet was not ready at the start".to_owned());
         }
         let chaos = Self {
             rng: StdRng::seed_from_u64(seed),
             began: Instant::now(),
             version: 1,
-            stopped: Vec::new(),
+            frozen: Vec::new(),
             faults: Vec::new(),
             fleet,
-            truth,
+            checker,
             load,
         };
-        chaos.fleet.agents().into_iter().for_each(|host| chaos.answer_as_usual(host));
+        chaos.fleet.agents().into_iter().for_each(|host| chaos.reset_server(host));
         chaos
     }
 
@@ -70,7 +70,7 @@
         &self.fleet
     }
 
-    pub(super) fn fault(&mut self) {
+    pub(super) fn inject(&mut self) {
         let pause = self.rng.random_range(50..900);
         thread::sleep(Duration::from_millis(pause));
         let kinds = FAULTS + if self.load.is_varied() { LOAD_FAULTS } else { 0 };
@@ -80,20 +80,20 @@
             2 => self.restart_agent(Signal::Kill),
             3 => self.restart_agent(Signal::Term),
             4 => self.freeze(),
-            5 => self.wake(),
-            6 => self.store_mood(),
-            7 => self.harm_connections(),
-            8 => self.change(),
+            5 => self.resume_all(),
+            6 => self.disturb_store(),
+            7 => self.disturb_connections(),
+            8 => self.change_routes(),
             9 => self.replace_server(),
             10 => self.reload(),
-            11 => self.burst(),
-            12 => self.change_heavy(),
-            13 => self.slow_down(),
-            _ => self.speed_up(),
+            11 => self.toggle_burst(),
+            12 => self.toggle_heavy_caller(),
+            13 => self.slow_server(),
+            _ => self.reset_servers(),
         }
     }
 
-    fn note(&mut self, fault: String) {
+    fn record(&mut self, fault: String) {
         self.faults.push(format!("{:.1} s: {fault}", self.began.elapsed().as_secs_f64()));
     }
 
@@ -103,32 +103,32 @@
 
     fn restart_balancer(&mut self, signal: Signal) {
         let host = self.pick(&self.fleet.balancers());
-        self.note(format!("{signal:?} and start of balancer {host}"));
+        self.record(format!("{signal:?} and start of balancer {host}"));
         self.restart(host, signal);
     }
 
     fn restart_agent(&mut self, signal: Signal) {
         let host = self.pick(&self.fleet.agents());
-        self.note(format!("{signal:?} and start of agent {host}"));
+        self.record(format!("{signal:?} and start of agent {host}"));
         self.restart(host, signal);
     }
 
     /// Restarts the process of a host. Records a disturbance unless it is a graceful stop of a
     /// process that was not suspended.
     fn restart(&mut self, host: Ipv4Addr, signal: Signal) {
-        let stood = self.stopped.contains(&host);
+        let stood = self.frozen.contains(&host);
         if signal == Signal::Kill || stood {
-            self.truth.disturb(host);
+            self.checker.record_disturbance(host);
         }
         if stood {
             self.fleet.signal(host, Signal::Continue);
-            self.stopped.retain(|other| *other != host);
+            self.frozen.retain(|other| *other != host);
         }
         self.fleet.signal(host, signal);
         if !self.fleet.ended(host, Duration::from_secs(8)) {
-            self.truth.break_promise(format!("{host} did not exit within its grace period"));
+            self.checker.record_violation(format!("{host} did not exit within its grace period"));
             self.fleet.signal(host, Signal::Kill);
-            self.fleet.ended(host, SETTLE);
+            self.fleet.ended(host, READY_TIMEOUT);
         }
         self.fleet.start(host);
     }
@@ -136,42 +136,49 @@
     fn freeze(&mut self) {
         let hosts = [self.fleet.balancers(), self.fleet.agents()].concat();
         let host = self.pick(&hosts);
-        self.note(format!("{host} is suspended"));
-        self.truth.disturb(host);
+        self.record(format!("{host} is suspended"));
+        self.checker.record_disturbance(host);
         self.fleet.signal(host, Signal::Stop);
-        self.stopped.push(host);
+        self.frozen.push(host);
     }
 
-    fn wake(&mut self) {
-        for host in std::mem::take(&mut self.stopped) {
-            self.note(format!("{host} resumes"));
-            self.truth.disturb(host);
+    fn resume_all(&mut self) {
+        for host in std::mem::take(&mut self.frozen) {
+            self.record(format!("{host} resumes"));
+            self.checker.record_disturbance(host);
             self.fleet.signal(host, Signal::Continue);
         }
     }
 
-    fn store_mood(&mut self) {
+    fn disturb_store(&mut self) {
         let moods = [Mood::Well, Mood::Down, Mood::LosesAnswers, Mood::Slow(300), Mood::Well];
         let mood = moods[self.rng.random_range(0..moods.len())];
-        self.note(format!("store: {mood:?}"));
+        self.record(format!("store: {mood:?}"));
         self.fleet.store.set_mood(mood);
-        self.truth.store_is_well(mood == Mood::Well);
+        self.checker.record_store_health(mood == Mood::Well);
         if self.rng.random_bool(0.3) {
             self.fleet.store.forget_history();
         }
     }
 
-    fn harm_connections(&mut self) {
-        use proxy::Mode as Way;
-        let ways = [Way::Pass, Way::Delay(200), Way::Reset, Way::Silent, Way::OneWay, Way::Pass];
-        let way = ways[self.rng.random_range(0..ways.len())];
-        self.note(format!("connections to the store: {way:?}"));
-        self.fleet.proxy.set_mode(way);
-        self.truth.store_is_well(way == Way::Pass);
+    fn disturb_connections(&mut self) {
+        use proxy::Mode as ProxyMode;
+        let modes = [
+            ProxyMode::Pass,
+            ProxyMode::Delay(200),
+            ProxyMode::Reset,
+            ProxyMode::Silent,
+            ProxyMode::OneWay,
+            ProxyMode::Pass,
+        ];
+        let mode = modes[self.rng.random_range(0..modes.len())];
+        self.record(format!("connections to the store: {mode:?}"));
+        self.fleet.proxy.set_mode(mode);
+        self.checker.record_store_health(mode == ProxyMode::Pass);
     }
 
     /// Swaps the services of the two routes, removes one route, or restores the initial routes.
-    fn change(&mut self) {
+    fn change_routes(&mut self) {
         let routes = match self.rng.random_range(0..3) {
             0 => vec![(443, "vault"), (444, "desk")],
             1 => vec![(443, "desk")],
@@ -182,8 +189,8 @@
 
     fn configure(&mut self, routes: &[(u16, &'static str)]) {
         self.version += 1;
-        self.note(format!("configuration {}: {routes:?}", self.version));
-        self.truth.change(routes);
+        self.record(format!("configuration {}: {routes:?}", self.version));
+        self.checker.record_routes(routes);
         self.fleet.configure(self.version, routes);
     }
 
@@ -191,99 +198,99 @@
         let host = self.pick(&self.fleet.agents());
         let id = self.fleet.server(host).id().to_owned();
         if self.rng.random_bool(0.5) {
-            self.note(format!("{id} drains and is replaced"));
+            self.record(format!("{id} drains and is replaced"));
             self.fleet.server(host).drain();
-            self.truth.drain(&id, host);
+            self.checker.record_drain(&id, host);
             thread::sleep(Duration::from_millis(1_500));
         } else {
-            self.note(format!("{id} crashes and is replaced"));
+            self.record(format!("{id} crashes and is replaced"));
         }
-        self.truth.end(&id);
-        self.truth.disturb(host);
+        self.checker.record_end(&id);
+        self.checker.record_disturbance(host);
         self.fleet.start_server(host);
-        self.answer_as_usual(host);
+        self.reset_server(host);
     }
 
     fn reload(&mut self) {
         let hosts = [self.fleet.balancers(), self.fleet.agents()].concat();
         let host = self.pick(&hosts);
-        self.note(format!("{host} reloads its settings"));
+        self.record(format!("{host} reloads its settings"));
         self.fleet.signal(host, Signal::Reload);
     }
 
     /// Starts a burst of one class of requests, or ends the current one.
-    fn burst(&mut self) {
+    fn toggle_burst(&mut self) {
         let port = PORTS[self.rng.random_range(0..PORTS.len())];
         let burst = self.load.burst().is_none().then_some(port);
-        self.note(format!("burst: {burst:?}"));
+        self.record(format!("burst: {burst:?}"));
         self.load.set_burst(burst);
     }
 
-    fn change_heavy(&mut self) {
-        let heavy = !self.load.is_heavy();
-        self.note(format!("heavy caller: {heavy}"));
-        self.load.set_heavy(heavy);
+    fn toggle_heavy_caller(&mut self) {
+        let heavy = !self.load.has_heavy_caller();
+        self.record(format!("heavy caller: {heavy}"));
+        self.load.set_heavy_caller(heavy);
     }
 
     /// Slows down the answers of a server without affecting its heartbeats.
-    fn slow_down(&mut self) {
+    fn slow_server(&mut self) {
         let host = self.pick(&self.fleet.agents());
         let answer_ms = self.rng.random_range(SLOW_MS);
-        self.note(format!("{} responds after {answer_ms} ms", self.fleet.server(host).id()));
+        self.record(format!("{} responds after {answer_ms} ms", self.fleet.server(host).id()));
         self.fleet.server(host).answer_after(answer_ms);
     }
 
-    fn speed_up(&mut self) {
-        self.note("no server is slow".to_owned());
+    fn reset_servers(&mut self) {
+        self.record("no server is slow".to_owned());
         for host in self.fleet.agents() {
-            self.answer_as_usual(host);
+            self.reset_server(host);
         }
     }
 
-    fn answer_as_usual(&self, host: Ipv4Addr) {
+    fn reset_server(&self, host: Ipv4Addr) {
         if self.load.is_varied() {
             self.fleet.server(host).answer_after(0);
         }
     }
 
-    fn calm_load(&mut self) {
+    fn reset_load(&mut self) {
         self.load.set_burst(None);
-        self.load.set_heavy(false);
-        self.speed_up();
+        self.load.set_heavy_caller(false);
+        self.reset_servers();
     }
 
     /// Applies all load faults while no process is disturbed: a request without a final answer was
     /// then lost by the system and not by a fault.
-    pub(super) fn press(&mut self) {
-        self.change_heavy();
-        self.burst();
-        self.slow_down();
-        thread::sleep(LOADED);
-        self.calm_load();
+    pub(super) fn run_under_load(&mut self) {
+        self.toggle_heavy_caller();
+        self.toggle_burst();
+        self.slow_server();
+        thread::sleep(LOAD_PHASE);
+        self.reset_load();
     }
 
-    pub(super) fn heal(&mut self) {
-        self.wake();
+    pub(super) fn end_faults(&mut self) {
+        self.resume_all();
         if self.load.is_varied() {
-            self.calm_load();
+            self.reset_load();
         }
         self.fleet.store.set_mood(Mood::Well);
         self.fleet.proxy.set_mode(proxy::Mode::Pass);
-        self.truth.store_is_well(true);
+        self.checker.record_store_health(true);
         self.configure(&[(443, "vault"), (444, "desk")]);
-        thread::sleep(IN_FORCE);
+        thread::sleep(CONFIG_APPLY);
         // Guards against a late change: watches that wait on silent connections must not delay it.
-        self.note("open connections to the store: silent".to_owned());
+        self.record("open connections to the store: silent".to_owned());
         self.fleet.proxy.silence_open_connections();
         self.configure(&[(443, "desk"), (444, "vault")]);
-        self.note("all faults end".to_owned());
+        self.record("all faults end".to_owned());
         thread::sleep(RECOVERY);
     }
 
     /// Checks that after the faults the right service answers every request through any balancer,
     /// and that no process has exited by itself. Returns the faults.
     pub(super) fn check_recovery(mut self) -> Vec<String> {
-        let asker = self.fleet.client(LAST);
+        let asker = self.fleet.client(FINAL_CLIENT);
         let client = Client::bind(asker, self.fleet.ports);
         let balancers = self.fleet.balancers();
         for (number, from_port) in (40_000..40_024).enumerate() {
@@ -296,8 +303,8 @@
                 |mut open| client.request(&mut open, &through, Duration::from_secs(2)),
             );
             match outcome {
-                Outcome::Answered(id) => self.truth.answered(asker, port, &id, sent),
-                other => self.truth.break_promise(format!(
+                Outcome::Answered(id) => self.checker.record_answer(asker, port, &id, sent),
+                other => self.checker.record_violation(format!(
                     "after the faults a request to port {port} through {} ended in {other:?}",
                     through[0]
                 )),
@@ -305,7 +312,7 @@
         }
         for host in [balancers, self.fleet.agents()].concat() {
             if self.fleet.ended(host, Duration::ZERO) {
-                self.truth.break_promise(format!("the process of {host} exited by itself"));
+                self.checker.record_violation(format!("the process of {host} exited by itself"));
             }
         }
         self.faults
--- a/crates/nutmegkeel_dev/src/soak/processes/load.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/load.rs
@@ -3,14 +3,14 @@
 use std::sync::atomic::{AtomicBool, AtomicU16, Ordering};
 
 /// Stored instead of a port while there is no burst.
-const NONE: u16 = 0;
+const NO_BURST: u16 = 0;
 
 /// Load settings that clients read before each round.
 #[derive(Debug, Default)]
 pub(super) struct Load {
     varies: bool,
     over: AtomicBool,
-    heavy: AtomicBool,
+    heavy_caller: AtomicBool,
     burst: AtomicU16,
 }
 
@@ -34,20 +34,20 @@
     }
 
     /// Returns whether the heavy caller is active.
-    pub(super) fn is_heavy(&self) -> bool {
-        self.heavy.load(Ordering::Relaxed)
+    pub(super) fn has_heavy_caller(&self) -> bool {
+        self.heavy_caller.load(Ordering::Relaxed)
     }
 
-    pub(super) fn set_heavy(&self, heavy: bool) {
-        self.heavy.store(heavy, Ordering::Relaxed);
+    pub(super) fn set_heavy_caller(&self, heavy_caller: bool) {
+        self.heavy_caller.store(heavy_caller, Ordering::Relaxed);
     }
 
     /// Returns the port that all clients request as fast as they can, if there is a burst.
     pub(super) fn burst(&self) -> Option<u16> {
-        Some(self.burst.load(Ordering::Relaxed)).filter(|port| *port != NONE)
+        Some(self.burst.load(Ordering::Relaxed)).filter(|port| *port != NO_BURST)
     }
 
     pub(super) fn set_burst(&self, port: Option<u16>) {
-        self.burst.store(port.unwrap_or(NONE), Ordering::Relaxed);
+        self.burst.store(port.unwrap_or(NO_BURST), Ordering::Relaxed);
     }
 }
