--- a/crates/nutmegkeel_dev/src/caller.rs
+++ b/crates/nutmegkeel_dev/src/caller.rs
@@ -17,11 +17,11 @@
 /// Name in the certificate of the agents.
 pub const SERVER_NAME: &str = "nutmegkeel.test";
 /// Length from which on no further part of a body is kept as text, in bytes.
-const KEPT: usize = 4_096;
+const MAX_TEXT: usize = 4_096;
 /// Time limit for opening a flow.
-const OPEN_WITHIN: Duration = Duration::from_secs(10);
+const OPEN_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time without received data after which an answer has failed.
-const SILENT: Duration = Duration::from_secs(10);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Error of a call that got no complete answer.
 #[derive(Debug, thiserror::Error)]
@@ -31,7 +31,7 @@
     NotOpened(String),
     /// The server closed the flow or rejected the request before it accepted it; nothing ran.
     #[error("flow is closing, the request was not accepted")]
-    Goodbye,
+    NotAccepted,
     /// The flow or the answer was interrupted.
     #[error("broken: {0}")]
     Broken(String),
@@ -117,7 +117,7 @@
             .endpoint
             .connect(address, SERVER_NAME)
             .map_err(|error| Fault::NotOpened(error.to_string()))?;
-        let connection = tokio::time::timeout(OPEN_WITHIN, connecting)
+        let connection = tokio::time::timeout(OPEN_TIMEOUT, connecting)
             .await
             .map_err(|_| Fault::NotOpened("no answer".to_owned()))?
             .map_err(|error| Fault::NotOpened(error.to_string()))?;
@@ -132,17 +132,17 @@
     /// Sends a request and receives its complete answer.
     ///
     /// # Errors
-    /// When the answer is incomplete; [`Fault::Goodbye`] when the request was certainly not
+    /// When the answer is incomplete; [`Fault::NotAccepted`] when the request was certainly not
     /// accepted.
     pub async fn call(&mut self, call: &Call) -> Result<Answer, Fault> {
         let began = Instant::now();
         let request = request(call).map_err(|error| Fault::Broken(error.to_string()))?;
         let mut stream = self.requests.send_request(request).await.map_err(fault)?;
         if !call.body.is_empty() {
-            unless_unneeded(stream.send_data(call.body.clone()).await)?;
+            ignore_stop_sending(stream.send_data(call.body.clone()).await)?;
         }
-        unless_unneeded(stream.finish().await)?;
-        let head = within(stream.recv_response()).await?;
+        ignore_stop_sending(stream.finish().await)?;
+        let head = with_timeout(stream.recv_response()).await?;
         let mut answer = Answer {
             status: head.status(),
             verdict: header(&head, "nutmegkeel-verdict"),
@@ -156,13 +156,13 @@
         };
         let mut hasher = Hasher::new();
         let mut last = Instant::now();
-        while let Some(mut part) = within(stream.recv_data()).await? {
+        while let Some(mut part) = with_timeout(stream.recv_data()).await? {
             answer.longest_silence = answer.longest_silence.max(last.elapsed());
             last = Instant::now();
             let part = part.copy_to_bytes(part.remaining());
             hasher.update(&part);
             answer.length += part.len() as u64;
-            if answer.text.len() < KEPT {
+            if answer.text.len() < MAX_TEXT {
                 answer.text.push_str(&String::from_utf8_lossy(&part));
             }
         }
@@ -183,15 +183,15 @@
 
 /// Ignores the error of a server that stops reading a request early, since it still answers
 /// (RFC 9114, section 4.1).
-fn unless_unneeded(sent: Result<(), StreamError>) -> Result<(), Fault> {
+fn ignore_stop_sending(sent: Result<(), StreamError>) -> Result<(), Fault> {
     match sent {
         Err(StreamError::RemoteTerminate { code, .. }) if code == Code::H3_NO_ERROR => Ok(()),
         other => other.map_err(fault),
     }
 }
 
-async fn within<T>(future: impl Future<Output = Result<T, StreamError>>) -> Result<T, Fault> {
-    match tokio::time::timeout(SILENT, future).await {
+async fn with_timeout<T>(future: impl Future<Output = Result<T, StreamError>>) -> Result<T, Fault> {
+    match tokio::time::timeout(RECEIVE_TIMEOUT, future).await {
         Ok(result) => result.map_err(fault),
         Err(_) => Err(Fault::Broken("no data within the time limit".to_owned())),
     }
@@ -219,10 +219,10 @@
 fn fault(error: StreamError) -> Fault {
     match error {
         StreamError::RemoteTerminate { code, .. } if code == Code::H3_REQUEST_REJECTED => {
-            Fault::Goodbye
+            Fault::NotAccepted
         }
-        StreamError::RemoteClosing { .. } => Fault::Goodbye,
-        ref ended if ended.is_h3_no_error() => Fault::Goodbye,
+        StreamError::RemoteClosing { .. } => Fault::NotAccepted,
+        ref ended if ended.is_h3_no_error() => Fault::NotAccepted,
         other => Fault::Broken(other.to_string()),
     }
 }
--- a/crates/nutmegkeel_dev/src/demo.rs
+++ b/crates/nutmegkeel_dev/src/demo.rs
@@ -1,14 +1,14 @@
 //! Demo of the whole system on loopback under stops, kills and a drain, checked by the stand-ins.
 
-pub(crate) mod bench;
 pub(crate) mod calls;
+pub(crate) mod deployment;
 mod report;
 pub mod settling;
 
 use std::time::{Duration, Instant};
 
-use bench::Bench;
 use calls::Calls;
+use deployment::Deployment;
 
 /// Options of the demo.
 #[derive(Clone, Debug)]
@@ -25,28 +25,28 @@
 /// # Errors
 /// When a process cannot be started or does not come up.
 pub fn run(options: &Options) -> std::io::Result<bool> {
-    let mut bench = Bench::open()?;
-    println!("started {} processes; waiting for both classes", bench.processes());
+    let mut deployment = Deployment::open()?;
+    println!("started {} processes; waiting for both classes", deployment.processes());
     let runtime = tokio::runtime::Runtime::new()?;
-    let certificate = bench.certificate();
-    runtime.block_on(calls::wait_until_served(certificate.clone(), &bench.classes()))?;
+    let certificate = deployment.certificate();
+    runtime.block_on(calls::wait_until_served(certificate.clone(), &deployment.classes()))?;
     println!("both classes are served; starting callers");
 
     let length = Duration::from_secs(options.seconds);
-    let calls = Calls::begin(&runtime, certificate, bench.classes(), length);
+    let calls = Calls::begin(&runtime, certificate, deployment.classes(), length);
     let began = Instant::now();
     let step = length / 8;
     pause(began, step);
     println!("{:>6.1}s stopping balancer 1 gracefully", began.elapsed().as_secs_f64());
-    bench.stop_balancer(0);
+    deployment.stop_balancer(0);
     pause(began, step * 2);
     println!("{:>6.1}s killing balancer 2", began.elapsed().as_secs_f64());
-    bench.kill_balancer(1);
+    deployment.kill_balancer(1);
     pause(began, step * 3);
     println!("{:>6.1}s starting balancer 4", began.elapsed().as_secs_f64());
-    bench.start_balancer(3)?;
+    deployment.start_balancer(3)?;
     pause(began, step * 4);
-    let drained = bench.drain_server_with_open_feed()?;
+    let drained = deployment.drain_server_with_open_feed()?;
     println!("{:>6.1}s draining {drained}, which holds the feed", began.elapsed().as_secs_f64());
 
     pause(began, step * 5);
@@ -54,7 +54,7 @@
         "{:>6.1}s an operator changes intake; the platform goes down",
         began.elapsed().as_secs_f64()
     );
-    let settled = bench.change_class_then_lose_platform()?;
+    let settled = deployment.change_class_then_lose_platform()?;
     println!(
         "{:>6.1}s in force on all balancers after {} ms",
         began.elapsed().as_secs_f64(),
@@ -62,20 +62,20 @@
     );
     pause(began, step * 6);
     println!("{:>6.1}s the platform is back", began.elapsed().as_secs_f64());
-    bench.set_platform("up")?;
+    deployment.set_platform("up")?;
 
     let results = calls.end(&runtime);
     println!("{:>6.1}s callers have finished", began.elapsed().as_secs_f64());
-    let drained_ended = bench.agent_ended(&drained);
-    println!("the drained agent exited cleanly: {drained_ended}");
-    let stopped_ended = bench.balancer_ended(0);
-    println!("the stopped balancer exited cleanly: {stopped_ended}");
-    let records = bench.records();
-    let counters = bench.counters();
+    let drained_exited = deployment.agent_exited(&drained);
+    println!("the drained agent exited cleanly: {drained_exited}");
+    let stopped_exited = deployment.balancer_exited(0);
+    println!("the stopped balancer exited cleanly: {stopped_exited}");
+    let records = deployment.records();
+    let counters = deployment.counters();
     let passed =
-        report::print(&results, &records, &counters, settled) && drained_ended && stopped_ended;
+        report::print(&results, &records, &counters, settled) && drained_exited && stopped_exited;
     if options.keep {
-        println!("{}\npress Enter to stop everything", bench.directions());
+        println!("{}\npress Enter to stop everything", deployment.status_commands());
         std::io::stdin().read_line(&mut String::new())?;
     }
     Ok(passed)
--- a/crates/nutmegkeel_dev/src/demo/calls.rs
+++ b/crates/nutmegkeel_dev/src/demo/calls.rs
@@ -12,8 +12,8 @@
 use tokio::runtime::Runtime;
 use tokio::task::JoinSet;
 
-use super::bench::CLASSES;
-pub(crate) use super::bench::Class;
+use super::deployment::CLASSES;
+pub(crate) use super::deployment::Class;
 use crate::body;
 use crate::caller::{Answer, Call, Caller, Fault, Flow};
 use crate::standin::backend::line;
@@ -21,23 +21,23 @@
 /// Number of callers of each class that open one short flow after another.
 const CALLERS: usize = 12;
 /// Pause of a caller between two flows, and before a retry without advice from the system.
-const BETWEEN: Duration = Duration::from_millis(40);
+const FLOW_PAUSE: Duration = Duration::from_millis(40);
 /// Parts of the download: 64 MiB.
 const DOWNLOAD_PARTS: usize = 1_024;
 /// Time between two lines of the feed, in milliseconds.
-const LINE_EVERY_MS: u64 = 100;
+const LINE_INTERVAL_MS: u64 = 100;
 /// Time limit for both classes to be served.
-const SERVED_WITHIN: Duration = Duration::from_secs(20);
+const SERVED_TIMEOUT: Duration = Duration::from_secs(20);
 /// Maximum number of attempts for one call.
-const TRIES: usize = 6;
+const MAX_ATTEMPTS: usize = 6;
 /// Highest latency that the histograms record, in microseconds.
-const MOST_US: u64 = 60_000_000;
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-static NEXT: AtomicU64 = AtomicU64::new(1);
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
 /// Results of the callers of one class.
 #[derive(Debug)]
-pub(crate) struct Seen {
+pub(crate) struct Totals {
     pub(crate) calls: u64,
     pub(crate) answered: u64,
     pub(crate) refused: u64,
@@ -51,9 +51,9 @@
     began: Instant,
 }
 
-impl Seen {
+impl Totals {
     fn new() -> Self {
-        let times = Histogram::new_with_bounds(1, MOST_US, 3);
+        let times = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3);
         Self {
             calls: 0,
             answered: 0,
@@ -69,7 +69,7 @@
         }
     }
 
-    fn add(&mut self, other: Self) {
+    fn merge(&mut self, other: Self) {
         self.calls += other.calls;
         self.answered += other.answered;
         self.refused += other.refused;
@@ -83,10 +83,10 @@
         self.longest_silence = self.longest_silence.max(other.longest_silence);
     }
 
-    fn fault(&mut self, what: &str, fault: &Fault) {
+    fn record_fault(&mut self, what: &str, fault: &Fault) {
         match fault {
             Fault::NotOpened(_) => self.not_opened += 1,
-            Fault::Goodbye => self.refused += 1,
+            Fault::NotAccepted => self.refused += 1,
             Fault::Broken(_) => self.broken += 1,
         }
         let at = self.began.elapsed().as_secs_f64();
@@ -95,11 +95,11 @@
 }
 
 /// Results of all callers, by class.
-pub(crate) type Results = BTreeMap<&'static str, Seen>;
+pub(crate) type Results = BTreeMap<&'static str, Totals>;
 
 /// Running callers.
 pub(crate) struct Calls {
-    tasks: JoinSet<(&'static str, Seen)>,
+    tasks: JoinSet<(&'static str, Totals)>,
 }
 
 impl Calls {
@@ -115,7 +115,7 @@
         let mut tasks = JoinSet::new();
         for class in &classes {
             for _ in 0..CALLERS {
-                tasks.spawn(call_often(class.clone(), certificate.clone(), until));
+                tasks.spawn(call_repeatedly(class.clone(), certificate.clone(), until));
             }
         }
         let feeds = classes[CLASSES.len() - 1].clone();
@@ -130,8 +130,8 @@
         runtime.block_on(async {
             let mut results = Results::new();
             while let Some(ended) = self.tasks.join_next().await {
-                if let Ok((class, seen)) = ended {
-                    results.entry(class).or_insert_with(Seen::new).add(seen);
+                if let Ok((class, totals)) = ended {
+                    results.entry(class).or_insert_with(Totals::new).merge(totals);
                 }
             }
             results
@@ -144,7 +144,7 @@
     certificate: CertificateDer<'static>,
     classes: &[Class],
 ) -> io::Result<()> {
-    let until = Instant::now() + SERVED_WITHIN;
+    let until = Instant::now() + SERVED_TIMEOUT;
     for class in classes {
         loop {
             let caller = Caller::open(certificate.clone())?;
@@ -185,38 +185,40 @@
 }
 
 /// Opens one short flow after another, each with a status check, a filing and a status check.
-async fn call_often(
+async fn call_repeatedly(
     class: Class,
     certificate: CertificateDer<'static>,
     until: Instant,
-) -> (&'static str, Seen) {
-    let mut seen = Seen::new();
+) -> (&'static str, Totals) {
+    let mut totals = Totals::new();
     let Ok(caller) = Caller::open(certificate) else {
-        seen.broken += 1;
-        return (class.name, seen);
+        totals.broken += 1;
+        return (class.name, totals);
     };
     while Instant::now() < until {
-        if let Ok(mut flow) = open(&caller, &class, &mut seen).await {
+        if let Ok(mut flow) = open(&caller, &class, &mut totals).await {
             for filed in [false, true, false] {
-                let number = NEXT.fetch_add(1, Ordering::Relaxed);
+                let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
                 let call =
                     if filed { filing(&class, number) } else { status_check(&class, number) };
-                flow = match settle(&caller, &class, flow, &call, number, &mut seen).await {
+                flow = match call_with_retries(&caller, &class, flow, &call, number, &mut totals)
+                    .await
+                {
                     Some(flow) => flow,
-                    None => break_open(&caller, &class, &mut seen).await,
+                    None => open_or_none(&caller, &class, &mut totals).await,
                 };
             }
             flow.close_if_open();
         }
-        tokio::time::sleep(BETWEEN).await;
+        tokio::time::sleep(FLOW_PAUSE).await;
     }
-    (class.name, seen)
+    (class.name, totals)
 }
 
 /// A flow, or none after it ended.
-struct Held(Option<Flow>);
+struct OptionalFlow(Option<Flow>);
 
-impl Held {
+impl OptionalFlow {
     fn close_if_open(self) {
         if let Some(flow) = self.0 {
             flow.close();
@@ -224,60 +226,60 @@
     }
 }
 
-async fn open(caller: &Caller, class: &Class, seen: &mut Seen) -> Result<Held, ()> {
+async fn open(caller: &Caller, class: &Class, totals: &mut Totals) -> Result<OptionalFlow, ()> {
     match caller.flow(class.address).await {
-        Ok(flow) => Ok(Held(Some(flow))),
+        Ok(flow) => Ok(OptionalFlow(Some(flow))),
         Err(fault) => {
-            seen.fault("opening", &fault);
+            totals.record_fault("opening", &fault);
             Err(())
         }
     }
 }
 
-async fn break_open(caller: &Caller, class: &Class, seen: &mut Seen) -> Held {
-    open(caller, class, seen).await.unwrap_or(Held(None))
+async fn open_or_none(caller: &Caller, class: &Class, totals: &mut Totals) -> OptionalFlow {
+    open(caller, class, totals).await.unwrap_or(OptionalFlow(None))
 }
 
 /// Makes one call with retries: a request that certainly did not run is sent again after the delay
 /// that the system advises, on a new flow if the old one is closing.
-async fn settle(
+async fn call_with_retries(
     caller: &Caller,
     class: &Class,
-    mut held: Held,
+    mut held: OptionalFlow,
     call: &Call,
     number: u64,
-    seen: &mut Seen,
-) -> Option<Held> {
-    seen.calls += 1;
-    for _ in 0..TRIES {
+    totals: &mut Totals,
+) -> Option<OptionalFlow> {
+    totals.calls += 1;
+    for _ in 0..MAX_ATTEMPTS {
         let Some(flow) = &mut held.0 else {
-            held = break_open(caller, class, seen).await;
+            held = open_or_none(caller, class, totals).await;
             continue;
         };
         let began = Instant::now();
         match flow.call(call).await {
             Ok(answer) if answer.verdict == "not-run" => {
-                tokio::time::sleep(answer.retry_after.unwrap_or(BETWEEN)).await;
-                seen.refused += 1;
+                tokio::time::sleep(answer.retry_after.unwrap_or(FLOW_PAUSE)).await;
+                totals.refused += 1;
             }
             Ok(answer) => {
-                note(&answer, call, number, began.elapsed(), seen);
+                record_answer(&answer, call, number, began.elapsed(), totals);
                 return Some(held);
             }
-            Err(Fault::Goodbye) => held = break_open(caller, class, seen).await,
+            Err(Fault::NotAccepted) => held = open_or_none(caller, class, totals).await,
             Err(fault) => {
-                seen.fault(&call.path, &fault);
+                totals.record_fault(&call.path, &fault);
                 return None;
             }
         }
     }
-    seen.faults.push(format!("retries exhausted: {}", call.path));
+    totals.faults.push(format!("retries exhausted: {}", call.path));
     Some(held)
 }
 
-fn note(answer: &Answer, call: &Call, number: u64, took: Duration, seen: &mut Seen) {
+fn record_answer(answer: &Answer, call: &Call, number: u64, took: Duration, totals: &mut Totals) {
     if answer.verdict == "may-have-run" {
-        seen.may_have_run += 1;
+        totals.may_have_run += 1;
         return;
     }
     let expected = match &call.key {
@@ -285,53 +287,55 @@
         None => answer.text == body::status(number),
     };
     if !expected {
-        seen.broken += 1;
-        seen.faults.push(format!("{} {}: wrong answer", call.path, answer.status));
+        totals.broken += 1;
+        totals.faults.push(format!("{} {}: wrong answer", call.path, answer.status));
         return;
     }
-    seen.answered += 1;
-    seen.filed.extend(call.key.clone());
-    let _ = seen.times.record(u64::try_from(took.as_micros()).unwrap_or(MOST_US));
+    totals.answered += 1;
+    totals.filed.extend(call.key.clone());
+    let _ = totals.times.record(u64::try_from(took.as_micros()).unwrap_or(MAX_LATENCY_US));
 }
 
-async fn download(class: Class, certificate: CertificateDer<'static>) -> (&'static str, Seen) {
-    let mut seen = Seen::new();
+async fn download(class: Class, certificate: CertificateDer<'static>) -> (&'static str, Totals) {
+    let mut totals = Totals::new();
     let path = format!("/download?parts={DOWNLOAD_PARTS}");
-    let whole = |answer: &Answer| answer.hash == body::hash(DOWNLOAD_PARTS);
-    follow(&class, certificate, path, whole, &mut seen).await;
-    (class.name, seen)
+    let is_complete = |answer: &Answer| answer.hash == body::hash(DOWNLOAD_PARTS);
+    call_on_own_flow(&class, certificate, path, is_complete, &mut totals).await;
+    (class.name, totals)
 }
 
 async fn follow_feed(
     class: Class,
     certificate: CertificateDer<'static>,
     length: Duration,
-) -> (&'static str, Seen) {
-    let mut seen = Seen::new();
-    let lines = u64::try_from(length.as_millis()).unwrap_or_default() / LINE_EVERY_MS;
-    let path = format!("/feed?lines={lines}&every_ms={LINE_EVERY_MS}");
-    let whole = |answer: &Answer| {
+) -> (&'static str, Totals) {
+    let mut totals = Totals::new();
+    let lines = u64::try_from(length.as_millis()).unwrap_or_default() / LINE_INTERVAL_MS;
+    let path = format!("/feed?lines={lines}&every_ms={LINE_INTERVAL_MS}");
+    let is_complete = |answer: &Answer| {
         let mut hasher = body::Hasher::new();
         for index in 0..lines {
             hasher.update(&line(&answer.server, index));
         }
         answer.hash == hasher.finalize().to_hex().to_string()
     };
-    if let Some(answer) = follow(&class, certificate, path, whole, &mut seen).await {
-        seen.longest_silence = answer.longest_silence;
+    if let Some(answer) =
+        call_on_own_flow(&class, certificate, path, is_complete, &mut totals).await
+    {
+        totals.longest_silence = answer.longest_silence;
     }
-    (class.name, seen)
+    (class.name, totals)
 }
 
 /// Makes one call with a long answer on a flow of its own.
-async fn follow(
+async fn call_on_own_flow(
     class: &Class,
     certificate: CertificateDer<'static>,
     path: String,
-    whole: impl Fn(&Answer) -> bool,
-    seen: &mut Seen,
+    is_complete: impl Fn(&Answer) -> bool,
+    totals: &mut Totals,
 ) -> Option<Answer> {
-    seen.calls += 1;
+    totals.calls += 1;
     let call = Call {
         method: Method::GET,
         path,
@@ -345,18 +349,19 @@
         Err(fault) => Err(fault),
     };
     match answered {
-        Ok(answer) if whole(&answer) => {
-            seen.answered += 1;
+        Ok(answer) if is_complete(&answer) => {
+            totals.answered += 1;
             Some(answer)
         }
         Ok(answer) => {
-            seen.broken += 1;
-            seen.faults
+            totals.broken += 1;
+            totals
+                .faults
                 .push(format!("{}: {} of {} bytes", call.path, answer.status, answer.length));
             None
         }
         Err(fault) => {
-            seen.fault(&call.path, &fault);
+            totals.record_fault(&call.path, &fault);
             None
         }
     }
--- a/crates/nutmegkeel_dev/src/demo/bench.rs
+++ b/crates/nutmegkeel_dev/src/demo/deployment.rs
@@ -13,7 +13,7 @@
 use rustls::pki_types::CertificateDer;
 use serde_json::{Value, json};
 
-use super::settling::{self, Shown};
+use super::settling::{self, ChangeState};
 use crate::caller::SERVER_NAME;
 use crate::port;
 use crate::process::{Process, Signal};
@@ -36,11 +36,11 @@
 /// Time that a short request takes at a backend server, in milliseconds.
 const SERVICE_MS: u64 = 3;
 /// Time limit for a change to be in force on all balancers, which is required within seconds.
-const SETTLE_WITHIN: Duration = Duration::from_secs(10);
+const SETTLING_TIMEOUT: Duration = Duration::from_secs(10);
 /// Exit code of the product when a balancer does not know the requested class.
-const NOT_KNOWN: i32 = 5;
+const UNKNOWN_CLASS: i32 = 5;
 /// Time limit for a process to exit after a graceful stop or a drain.
-const END_WITHIN: Duration = Duration::from_secs(15);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A class and its public address.
 #[derive(Clone, Debug)]
@@ -65,7 +65,7 @@
 }
 
 /// All processes of the demo, with their settings and logs in one temporary directory.
-pub(crate) struct Bench {
+pub(crate) struct Deployment {
     directory: PathBuf,
     product: PathBuf,
     platform: String,
@@ -73,11 +73,11 @@
     classes: Vec<Class>,
     balancers: Vec<Balancer>,
     servers: Vec<Server>,
-    webs: Vec<SocketAddr>,
-    surroundings: Vec<Process>,
+    web_addresses: Vec<SocketAddr>,
+    standins: Vec<Process>,
 }
 
-impl Drop for Bench {
+impl Drop for Deployment {
     fn drop(&mut self) {
         if std::thread::panicking() || std::env::var_os("NUTMEGKEEL_DEMO_KEEP_LOGS").is_some() {
             println!("logs are kept in {}", self.directory.display());
@@ -96,7 +96,7 @@
     private_key: PathBuf,
 }
 
-impl Bench {
+impl Deployment {
     /// Builds the product and starts all processes except the last balancer.
     pub(crate) fn open() -> io::Result<Self> {
         let product = build_product()?;
@@ -117,16 +117,16 @@
             private_key: write_secret(&directory, "private_key.pem", &private_key)?,
         };
         let (balancers, listed) = make_balancers(&directory, &shared)?;
-        let webs = listed.iter().map(|balancer| balancer.web).collect();
+        let web_addresses = listed.iter().map(|balancer| balancer.web).collect();
         let fabric = fabric::Settings { public: public.to_vec(), balancers: listed };
         let fabric = write(&directory, "fabric.json", &serde_json::to_string(&fabric)?)?;
-        let surroundings = vec![
+        let standins = vec![
             spawn(&directory, "platform", &tool, &["platform", &platform.to_string()])?,
             spawn(&directory, "fabric", &tool, &["fabric", &text(&fabric)])?,
         ];
         let classes = CLASSES.iter().zip(public);
         let classes = classes.map(|(name, address)| Class { name, address: *address }).collect();
-        let mut bench = Self {
+        let mut deployment = Self {
             directory,
             product,
             platform: shared.platform.clone(),
@@ -134,16 +134,16 @@
             classes,
             balancers,
             servers: Vec::new(),
-            webs,
-            surroundings,
+            web_addresses,
+            standins,
         };
         for index in 0..FIRST_BALANCERS {
-            bench.start_balancer(index)?;
+            deployment.start_balancer(index)?;
         }
         for index in 0..CLASSES.len() * SERVERS {
-            bench.start_server(&tool, &shared, index)?;
+            deployment.start_server(&tool, &shared, index)?;
         }
-        Ok(bench)
+        Ok(deployment)
     }
 
     pub(crate) fn certificate(&self) -> CertificateDer<'static> {
@@ -157,7 +157,7 @@
     /// Returns the number of processes that were started.
     pub(crate) fn processes(&self) -> usize {
         let balancers = self.balancers.iter().filter(|balancer| balancer.process.is_some()).count();
-        balancers + 2 * self.servers.len() + self.surroundings.len()
+        balancers + 2 * self.servers.len() + self.standins.len()
     }
 
     /// Returns the keys that all processes share.
@@ -180,7 +180,7 @@
 
     /// Returns the number of balancers and agents that were started.
     pub(crate) fn product_processes(&self) -> usize {
-        self.processes() - self.servers.len() - self.surroundings.len()
+        self.processes() - self.servers.len() - self.standins.len()
     }
 
     pub(crate) fn start_balancer(&mut self, index: usize) -> io::Result<()> {
@@ -204,9 +204,9 @@
         }
     }
 
-    pub(crate) fn balancer_ended(&mut self, index: usize) -> bool {
+    pub(crate) fn balancer_exited(&mut self, index: usize) -> bool {
         let process = self.balancers[index].process.as_mut();
-        process.is_some_and(|process| process.ended_within(END_WITHIN))
+        process.is_some_and(|process| process.exited_cleanly_within(EXIT_TIMEOUT))
     }
 
     /// Drains the server that holds the feed and returns its name.
@@ -214,7 +214,7 @@
         let holder = self
             .servers
             .iter()
-            .find(|server| records_of(server.address).is_ok_and(|records| records.feeds > 0));
+            .find(|server| fetch_records(server.address).is_ok_and(|records| records.feeds > 0));
         let server = holder.ok_or_else(|| io::Error::other("no server holds the feed"))?;
         let url = format!("http://{}/drain", server.address);
         ureq::post(&url).send_empty().map_err(io::Error::other)?;
@@ -229,19 +229,19 @@
         Ok(server.name.clone())
     }
 
-    pub(crate) fn agent_ended(&mut self, name: &str) -> bool {
+    pub(crate) fn agent_exited(&mut self, name: &str) -> bool {
         let server = self.servers.iter_mut().find(|server| server.name == name);
-        server.is_some_and(|server| server.agent.ended_within(END_WITHIN))
+        server.is_some_and(|server| server.agent.exited_cleanly_within(EXIT_TIMEOUT))
     }
 
     pub(crate) fn records(&self) -> Vec<Records> {
-        self.servers.iter().filter_map(|server| records_of(server.address).ok()).collect()
+        self.servers.iter().filter_map(|server| fetch_records(server.address).ok()).collect()
     }
 
     /// Returns the metrics of all running processes, summed by name and labels.
     pub(crate) fn counters(&self) -> BTreeMap<String, f64> {
         let mut sums = BTreeMap::new();
-        for web in &self.webs {
+        for web in &self.web_addresses {
             let Ok(mut answer) = ureq::get(format!("http://{web}/metrics")).call() else {
                 continue;
             };
@@ -262,20 +262,20 @@
         let first = *running.first().ok_or_else(|| io::Error::other("no balancer runs"))?;
         let began = Instant::now();
         let set = ["class", "set", "--leave-within-ms", "1500", "intake"];
-        let said = self.operate(first, &set)?;
+        let output = self.run_successfully(first, &set)?;
         self.set_platform("down")?;
-        println!("        {}", said.trim());
-        settling::wait(began, SETTLE_WITHIN, &running, |at| self.show_intake(at))
+        println!("        {}", output.trim());
+        settling::wait(began, SETTLING_TIMEOUT, &running, |at| self.show_intake(at))
     }
 
-    fn show_intake(&self, at: SocketAddr) -> io::Result<Shown> {
+    fn show_intake(&self, at: SocketAddr) -> io::Result<ChangeState> {
         let ran = self.run_command(at, &["class", "show", "intake"])?;
-        if ran.status.code() == Some(NOT_KNOWN) {
-            return Ok(Shown::NotKnown);
+        if ran.status.code() == Some(UNKNOWN_CLASS) {
+            return Ok(ChangeState::NotKnown);
         }
         let text = output_of("class show intake", &ran)?;
         let is_changed = text.contains("\"leave_within_ms\": 1500");
-        Ok(if is_changed { Shown::InForce } else { Shown::Earlier })
+        Ok(if is_changed { ChangeState::InForce } else { ChangeState::Earlier })
     }
 
     /// Sets the mode of the platform stand-in.
@@ -295,14 +295,14 @@
     }
 
     /// Runs one of the product's commands against a balancer and returns its output.
-    fn operate(&self, at: SocketAddr, words: &[&str]) -> io::Result<String> {
-        output_of(&words.join(" "), &self.run_command(at, words)?)
+    fn run_successfully(&self, at: SocketAddr, arguments: &[&str]) -> io::Result<String> {
+        output_of(&arguments.join(" "), &self.run_command(at, arguments)?)
     }
 
-    fn run_command(&self, at: SocketAddr, words: &[&str]) -> io::Result<Output> {
+    fn run_command(&self, at: SocketAddr, arguments: &[&str]) -> io::Result<Output> {
         let at = at.to_string();
         let token_file = text(&self.directory.join("token"));
-        let (command, rest) = words.split_at(2);
+        let (command, rest) = arguments.split_at(2);
         Command::new(&self.product)
             .args(command)
             .args(["--at", &at, "--token-file", &token_file])
@@ -311,7 +311,7 @@
     }
 
     /// Returns a `status` command line for each started balancer.
-    pub(crate) fn directions(&self) -> String {
+    pub(crate) fn status_commands(&self) -> String {
         let token = self.directory.join("token");
         let running = self.balancers.iter().filter(|balancer| balancer.process.is_some());
         let lines = running.map(|balancer| {
@@ -347,7 +347,7 @@
         let agent = spawn(&self.directory, &format!("agent-{name}"), &self.product, &arguments)?;
         let arguments = ["backend", &text(&file)];
         let backend = spawn(&self.directory, &format!("backend-{name}"), tool, &arguments)?;
-        self.webs.push(ports[1]);
+        self.web_addresses.push(ports[1]);
         self.servers.push(Server { name, address: ports[2], agent, _backend: backend });
         Ok(())
     }
@@ -391,13 +391,13 @@
 /// Returns the standard output of a command, or its error output as an error if it failed.
 fn output_of(command: &str, ran: &Output) -> io::Result<String> {
     if !ran.status.success() {
-        let said = String::from_utf8_lossy(&ran.stderr);
-        return Err(io::Error::other(format!("{command}: {said}")));
+        let output = String::from_utf8_lossy(&ran.stderr);
+        return Err(io::Error::other(format!("{command}: {output}")));
     }
     Ok(String::from_utf8_lossy(&ran.stdout).into_owned())
 }
 
-fn records_of(address: SocketAddr) -> io::Result<Records> {
+fn fetch_records(address: SocketAddr) -> io::Result<Records> {
     let mut answer =
         ureq::get(format!("http://{address}/records")).call().map_err(io::Error::other)?;
     answer.body_mut().read_json().map_err(io::Error::other)
--- a/crates/nutmegkeel_dev/src/demo/report.rs
+++ b/crates/nutmegkeel_dev/src/demo/report.rs
@@ -5,11 +5,11 @@
 
 use serde_json::json;
 
-use super::calls::{Results, Seen};
+use super::calls::{Results, Totals};
 use crate::standin::backend::Records;
 
 /// What the backend servers of one class recorded.
-struct Class {
+struct ClassRecords {
     wrong_desk: u64,
     run_twice: usize,
     not_recorded: usize,
@@ -46,20 +46,20 @@
     );
     let mut line = serde_json::Map::new();
     let mut passed = true;
-    for (class, seen) in results {
-        let recorded = of_class(class, seen, records);
-        let millis = |quantile| seen.times.value_at_quantile(quantile) as f64 / 1_000.0;
+    for (class, totals) in results {
+        let recorded = class_records(class, totals, records);
+        let millis = |quantile| totals.times.value_at_quantile(quantile) as f64 / 1_000.0;
         let (p50, p99, max) = (millis(0.5), millis(0.99), millis(1.0));
-        let silence_ms = seen.longest_silence.as_millis();
+        let silence_ms = totals.longest_silence.as_millis();
         println!(
             "{:<8} {:>6} {:>8} {:>7} {:>6} {:>9} {:>6} {:>5} {:>5} {:>9.3} {:>8.2} {:>8.2} {:>8.2} {:>8}",
             class,
-            seen.calls,
-            seen.answered,
-            seen.refused,
-            seen.may_have_run,
-            seen.not_opened,
-            seen.broken,
+            totals.calls,
+            totals.answered,
+            totals.refused,
+            totals.may_have_run,
+            totals.not_opened,
+            totals.broken,
             recorded.wrong_desk,
             recorded.run_twice,
             recorded.imbalance,
@@ -68,22 +68,22 @@
             max,
             silence_ms
         );
-        for fault in seen.faults.iter().take(5) {
+        for fault in totals.faults.iter().take(5) {
             println!("         {fault}");
         }
         line.insert(
             (*class).to_owned(),
             json!({
-                "calls": seen.calls, "answered": seen.answered, "refused": seen.refused,
-                "may_have_run": seen.may_have_run, "not_opened": seen.not_opened,
-                "broken": seen.broken, "wrong_desk": recorded.wrong_desk,
+                "calls": totals.calls, "answered": totals.answered, "refused": totals.refused,
+                "may_have_run": totals.may_have_run, "not_opened": totals.not_opened,
+                "broken": totals.broken, "wrong_desk": recorded.wrong_desk,
                 "run_twice": recorded.run_twice, "filed_not_recorded": recorded.not_recorded,
                 "imbalance": recorded.imbalance, "most_busy": recorded.most_busy,
                 "p50_ms": p50, "p99_ms": p99, "max_ms": max, "longest_silence_ms": silence_ms,
             }),
         );
-        passed &= seen.broken == 0 && recorded.wrong_desk == 0 && recorded.run_twice == 0;
-        passed &= recorded.not_recorded == 0 && seen.answered > 0;
+        passed &= totals.broken == 0 && recorded.wrong_desk == 0 && recorded.run_twice == 0;
+        passed &= recorded.not_recorded == 0 && totals.answered > 0;
     }
     let dropped: BTreeMap<&String, &f64> =
         counters.iter().filter(|(name, _)| name.starts_with("nutmegkeel_dropped")).collect();
@@ -94,7 +94,7 @@
     passed
 }
 
-fn of_class(class: &str, seen: &Seen, records: &[Records]) -> Class {
+fn class_records(class: &str, totals: &Totals, records: &[Records]) -> ClassRecords {
     let own: Vec<&Records> = records.iter().filter(|records| records.class == class).collect();
     let mut runs: BTreeMap<&str, u64> = BTreeMap::new();
     for (key, times) in own.iter().flat_map(|records| &records.runs) {
@@ -102,10 +102,10 @@
     }
     let mean = own.iter().map(|records| records.requests).sum::<u64>() as f64 / own.len() as f64;
     let most = own.iter().map(|records| records.requests).max().unwrap_or_default() as f64;
-    Class {
+    ClassRecords {
         wrong_desk: own.iter().map(|records| records.wrong_desk).sum(),
         run_twice: runs.values().filter(|times| **times > 1).count(),
-        not_recorded: seen.filed.iter().filter(|key| !runs.contains_key(key.as_str())).count(),
+        not_recorded: totals.filed.iter().filter(|key| !runs.contains_key(key.as_str())).count(),
         imbalance: if mean > 0.0 { most / mean } else { 0.0 },
         most_busy: own.iter().map(|records| records.most_busy).max().unwrap_or_default(),
     }
--- a/crates/nutmegkeel_dev/src/demo/settling.rs
+++ b/crates/nutmegkeel_dev/src/demo/settling.rs
@@ -6,11 +6,11 @@
 use std::time::{Duration, Instant};
 
 /// Interval between two rounds of queries.
-const PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// State of a changed class at a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shown {
+pub enum ChangeState {
     /// The change is in force.
     InForce,
     /// The balancer has the class as it was before the change.
@@ -27,12 +27,13 @@
     began: Instant,
     within: Duration,
     balancers: &[SocketAddr],
-    mut show: impl FnMut(SocketAddr) -> io::Result<Shown>,
+    mut show: impl FnMut(SocketAddr) -> io::Result<ChangeState>,
 ) -> io::Result<Duration> {
     loop {
-        let shown: Vec<Shown> = balancers.iter().map(|at| show(*at)).collect::<io::Result<_>>()?;
+        let shown: Vec<ChangeState> =
+            balancers.iter().map(|at| show(*at)).collect::<io::Result<_>>()?;
         let took = began.elapsed();
-        if took < within && shown.iter().all(|shown| *shown == Shown::InForce) {
+        if took < within && shown.iter().all(|shown| *shown == ChangeState::InForce) {
             return Ok(took);
         }
         if took >= within {
@@ -41,6 +42,6 @@
                 "change not in force on all balancers: {late:?}"
             )));
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/nutmegkeel_dev/src/measure/forward.rs
+++ b/crates/nutmegkeel_dev/src/measure/forward.rs
@@ -15,7 +15,7 @@
 use nutmegkeel_wire::{cid, key::Ring};
 use serde_json::{Map, json};
 
-use crate::demo::bench::{Bench, CLASSES};
+use crate::demo::deployment::{CLASSES, Deployment};
 use crate::port;
 use crate::process::Process;
 
@@ -40,10 +40,10 @@
 /// # Errors
 /// When the system does not come up.
 pub(super) fn run() -> io::Result<bool> {
-    let bench = Bench::open()?;
+    let deployment = Deployment::open()?;
     std::thread::sleep(Duration::from_secs(2));
-    let keys = bench.keys()?;
-    let (desk, frames, balancer) = bench.balancer(0)?;
+    let keys = deployment.keys()?;
+    let (desk, frames, balancer) = deployment.balancer(0)?;
     let mut ways: [(&str, Vec<Result>); 3] =
         [("plain relay", Vec::new()), ("inbound", Vec::new()), ("outbound", Vec::new())];
     for _ in 0..RUNS {
--- a/crates/nutmegkeel_dev/src/measure/path.rs
+++ b/crates/nutmegkeel_dev/src/measure/path.rs
@@ -7,8 +7,8 @@
 use serde_json::json;
 
 use crate::caller::Caller;
-use crate::demo::bench::Bench;
 use crate::demo::calls;
+use crate::demo::deployment::Deployment;
 
 /// Number of status checks on each flow.
 const CHECKS: u64 = 3;
@@ -35,21 +35,22 @@
 /// # Errors
 /// When the system does not come up or a call fails.
 pub fn run(flows: u64) -> io::Result<bool> {
-    let bench = Bench::open()?;
+    let deployment = Deployment::open()?;
     let runtime = tokio::runtime::Runtime::new()?;
     let (mut opens, mut checks, mut filings) =
         (Times::default(), Times::default(), Times::default());
     let began = Instant::now();
-    let work = call(&bench, flows, &mut opens, &mut checks, &mut filings);
+    let work = call(&deployment, flows, &mut opens, &mut checks, &mut filings);
     runtime.block_on(work)?;
-    let counters = bench.counters();
+    let counters = deployment.counters();
     let not_understood: f64 = NOT_UNDERSTOOD
         .iter()
         .filter_map(|reason| {
             counters.get(&format!("nutmegkeel_dropped_total{{reason=\"{reason}\"}}"))
         })
         .sum();
-    let control = control_bytes_per_second(&counters, began.elapsed(), bench.product_processes());
+    let control =
+        control_bytes_per_second(&counters, began.elapsed(), deployment.product_processes());
 
     println!("{:<14} {:>8} {:>8} {:>8}", "step", "p50 ms", "p99 ms", "max ms");
     let mut line = serde_json::Map::new();
@@ -76,17 +77,17 @@
 }
 
 async fn call(
-    bench: &Bench,
+    deployment: &Deployment,
     flows: u64,
     opens: &mut Times,
     checks: &mut Times,
     filings: &mut Times,
 ) -> io::Result<()> {
-    let classes = bench.classes();
-    calls::wait_until_served(bench.certificate(), &classes).await?;
+    let classes = deployment.classes();
+    calls::wait_until_served(deployment.certificate(), &classes).await?;
     tokio::time::sleep(SETTLE).await;
     let class = &classes[0];
-    let caller = Caller::open(bench.certificate())?;
+    let caller = Caller::open(deployment.certificate())?;
     for number in 0..flows {
         let began = Instant::now();
         let mut flow = caller.flow(class.address).await.map_err(io::Error::other)?;
--- a/crates/nutmegkeel_dev/src/measure/silence.rs
+++ b/crates/nutmegkeel_dev/src/measure/silence.rs
@@ -6,8 +6,8 @@
 use serde_json::{Map, json};
 
 use crate::caller::{Caller, Flow};
-use crate::demo::bench::Bench;
 use crate::demo::calls;
+use crate::demo::deployment::Deployment;
 
 /// Time for all processes to discover each other.
 const SETTLE: Duration = Duration::from_secs(4);
@@ -25,20 +25,20 @@
 /// # Errors
 /// When the system does not come up.
 pub(super) fn run() -> io::Result<bool> {
-    let mut bench = Bench::open()?;
+    let mut deployment = Deployment::open()?;
     let runtime = tokio::runtime::Runtime::new()?;
-    let classes = bench.classes();
+    let classes = deployment.classes();
     let class = &classes[0];
     let caller = runtime.block_on(async {
-        calls::wait_until_served(bench.certificate(), &classes).await?;
+        calls::wait_until_served(deployment.certificate(), &classes).await?;
         tokio::time::sleep(SETTLE).await;
-        Caller::open(bench.certificate())
+        Caller::open(deployment.certificate())
     })?;
     let (active, passive) = runtime.block_on(async {
         let active = open_flows(&caller, class).await?;
         Ok::<_, io::Error>((active, open_flows(&caller, class).await?))
     })?;
-    let killed = bench.kill_agent(&format!("{}-1", class.name))?;
+    let killed = deployment.kill_agent(&format!("{}-1", class.name))?;
     let began = Instant::now();
     println!("killed the agent of {killed}");
 
--- a/crates/nutmegkeel_dev/src/process.rs
+++ b/crates/nutmegkeel_dev/src/process.rs
@@ -78,7 +78,7 @@
     }
 
     /// Waits up to `limit` for the process to exit; returns true if it exited in time with success.
-    pub fn ended_within(&mut self, limit: Duration) -> bool {
+    pub fn exited_cleanly_within(&mut self, limit: Duration) -> bool {
         let until = Instant::now() + limit;
         while Instant::now() < until {
             if let Ok(Some(status)) = self.child.try_wait() {
--- a/crates/nutmegkeel_dev/tests/settling.rs
+++ b/crates/nutmegkeel_dev/tests/settling.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use nutmegkeel_dev::demo::settling::{Shown, wait};
+use nutmegkeel_dev::demo::settling::{ChangeState, wait};
 
 const SECOND: Duration = Duration::from_secs(1);
 const SHORT: Duration = Duration::from_millis(60);
@@ -23,7 +23,7 @@
     let settled = wait(Instant::now(), SECOND, &balancers(), |at| {
         asked += usize::from(at.port() == 2);
         let is_early = at.port() == 2 && asked < 3;
-        Ok(if is_early { Shown::NotKnown } else { Shown::InForce })
+        Ok(if is_early { ChangeState::NotKnown } else { ChangeState::InForce })
     });
 
     assert!(settled.is_ok(), "{settled:?}");
@@ -36,7 +36,7 @@
     let began = Instant::now();
 
     let settled = wait(began, SHORT, &balancers(), |at| {
-        Ok(if at.port() == 3 { Shown::NotKnown } else { Shown::InForce })
+        Ok(if at.port() == 3 { ChangeState::NotKnown } else { ChangeState::InForce })
     });
 
     let fault = settled.expect_err("one balancer lacks the class").to_string();
