--- a/crates/nutmegkeel_dev/src/compare.rs
+++ b/crates/nutmegkeel_dev/src/compare.rs
@@ -118,7 +118,7 @@
             let next = waiting.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
             let Some((day, way)) = next else { return };
             let outcome = play::play(options, day, way);
-            tell(&progress, &line(day, way, &outcome));
+            print_line(&progress, &line(day, way, &outcome));
             progress.inc(1);
             let cell =
                 outcome.map(|outcome| Cell { day: day.clone(), way: way.name.clone(), outcome });
@@ -142,7 +142,7 @@
 }
 
 /// Prints a line above the progress bar. Without a terminal the bar is hidden and would drop it.
-fn tell(progress: &ProgressBar, line: &str) {
+fn print_line(progress: &ProgressBar, line: &str) {
     if progress.is_hidden() {
         println!("{line}");
     } else {
--- a/crates/nutmegkeel_dev/src/compare/play.rs
+++ b/crates/nutmegkeel_dev/src/compare/play.rs
@@ -88,14 +88,14 @@
 
 /// Lets the bench build a checkout, so that no build runs during a play.
 pub(super) fn build(bench: &Path, way: &Way) -> Result<(), Fault> {
-    call(bench, way, &["build".to_owned()]).map(|_| ())
+    run_bench(bench, way, &["build".to_owned()]).map(|_| ())
 }
 
 /// Plays a day with a way. Processor time is not charged because it differs between plays.
 pub(super) fn play(options: &Options, day: &Day, way: &Way) -> Result<Outcome, Fault> {
     let name = format!("{}-{}-{}-{}", way.name, day.deployment(), day.label(), day.seed);
     let file = std::env::temp_dir().join(format!("nutmegkeel-{}-{name}.json", std::process::id()));
-    let words = [
+    let arguments = [
         "run".to_owned(),
         day.site.display().to_string(),
         day.name.clone(),
@@ -107,9 +107,9 @@
         "--why".to_owned(),
         options.why.clone(),
     ];
-    let said = call(&options.bench, way, &words)?;
+    let output = run_bench(&options.bench, way, &arguments)?;
     let Ok(text) = std::fs::read_to_string(&file) else {
-        return Ok(Outcome::Failed(last_line(&said)));
+        return Ok(Outcome::Failed(last_line(&output)));
     };
     // The report is not needed again; if it cannot be removed, only a temporary file remains.
     let _ = std::fs::remove_file(&file);
@@ -125,15 +125,17 @@
     }
 }
 
-fn call(bench: &Path, way: &Way, words: &[String]) -> Result<String, Fault> {
+fn run_bench(bench: &Path, way: &Way, arguments: &[String]) -> Result<String, Fault> {
     let fault = |error| Fault::Io { what: format!("{} in {}", bench.display(), way.name), error };
-    let ended = Command::new(bench).args(words).current_dir(&way.folder).output().map_err(fault)?;
+    let ended =
+        Command::new(bench).args(arguments).current_dir(&way.folder).output().map_err(fault)?;
     Ok(String::from_utf8_lossy(&ended.stdout).into_owned()
         + &String::from_utf8_lossy(&ended.stderr))
 }
 
-fn last_line(said: &str) -> String {
-    said.lines()
+fn last_line(output: &str) -> String {
+    output
+        .lines()
         .rev()
         .find(|line| !line.trim().is_empty())
         .unwrap_or("the bench printed nothing")
--- a/crates/nutmegkeel_dev/src/compare/statistic.rs
+++ b/crates/nutmegkeel_dev/src/compare/statistic.rs
@@ -14,9 +14,9 @@
     /// Their mean.
     pub mean: f64,
     /// The smallest.
-    pub least: f64,
+    pub min: f64,
     /// The greatest.
-    pub most: f64,
+    pub max: f64,
     /// Half the width of the confidence interval of the mean; none for a single figure.
     pub margin: Option<f64>,
 }
@@ -31,8 +31,8 @@
         Some(Self {
             count: figures.len(),
             mean: figures.mean(),
-            least: figures.min(),
-            most: figures.max(),
+            min: figures.min(),
+            max: figures.max(),
             margin: margin(figures),
         })
     }
--- a/crates/nutmegkeel_dev/src/compare/table.rs
+++ b/crates/nutmegkeel_dev/src/compare/table.rs
@@ -21,7 +21,7 @@
 /// All plays of a comparison.
 #[derive(Debug)]
 pub struct Table {
-    standing: String,
+    baseline: String,
     others: Vec<String>,
     plays: BTreeMap<(Day, String), Outcome>,
 }
@@ -32,7 +32,7 @@
     pub fn of(ways: &[Way], cells: Vec<Cell>) -> Self {
         let mut names = ways.iter().map(|way| way.name.clone());
         let plays = cells.into_iter().map(|cell| ((cell.day, cell.way), cell.outcome)).collect();
-        Self { standing: names.next().unwrap_or_default(), others: names.collect(), plays }
+        Self { baseline: names.next().unwrap_or_default(), others: names.collect(), plays }
     }
 
     /// Returns whether every day was played and broke no rule.
@@ -56,7 +56,7 @@
     fn rows(&self) -> BTreeMap<(String, Option<String>), Vec<&Day>> {
         let mut rows: BTreeMap<_, Vec<&Day>> = BTreeMap::new();
         for (day, way) in self.plays.keys() {
-            if *way == self.standing {
+            if *way == self.baseline {
                 rows.entry((day.deployment(), Some(day.label()))).or_default().push(day);
                 rows.entry((day.deployment(), None)).or_default().push(day);
             }
@@ -69,8 +69,8 @@
         let pairs: Vec<(f64, f64)> = days
             .iter()
             .filter_map(|day| {
-                let standing = self.report(day, &self.standing)?;
-                Some((standing.worth, self.report(day, other)?.worth))
+                let baseline = self.report(day, &self.baseline)?;
+                Some((baseline.worth, self.report(day, other)?.worth))
             })
             .collect();
         let column =
@@ -89,12 +89,12 @@
         writeln!(
             formatter,
             "| deployment | day | pairs | {} | way | worth | spread | difference | 95% | failed |",
-            self.standing
+            self.baseline
         )?;
         writeln!(formatter, "|---|---|---|---|---|---|---|---|---|---|")?;
         for ((deployment, day), days) in self.rows() {
             for other in &self.others {
-                let Some([standing, way, difference]) = self.compare(&days, other) else {
+                let Some([baseline, way, difference]) = self.compare(&days, other) else {
                     continue;
                 };
                 let margin = difference
@@ -105,12 +105,12 @@
                     "| {deployment} | {} | {} | {:.4} | {other} | {:.4} | {:.4} to {:.4} | {:+.4} | {margin} | {}, {} |",
                     day.as_deref().unwrap_or("all"),
                     difference.count,
-                    standing.mean,
+                    baseline.mean,
                     way.mean,
-                    way.least,
-                    way.most,
+                    way.min,
+                    way.max,
                     difference.mean,
-                    self.failed(&days, &self.standing),
+                    self.failed(&days, &self.baseline),
                     self.failed(&days, other),
                 )?;
             }
--- a/crates/nutmegkeel_dev/src/main.rs
+++ b/crates/nutmegkeel_dev/src/main.rs
@@ -78,27 +78,41 @@
 }
 
 fn measure_command() -> impl Parser<Command> {
-    let decided = |name, description, measurement: Measurement| {
+    let fixed_measurement = |name, description, measurement: Measurement| {
         bpaf::pure(measurement).to_options().descr(description).command(name)
     };
-    let forward =
-        decided("forward", "Processor time of a balancer per packet", Measurement::Forward);
-    let silence =
-        decided("silence", "Time until callers of a killed agent detect it", Measurement::Silence);
-    let routing = decided("routing", "Placement against baselines", Measurement::Routing);
-    let limits = decided("limits", "Goodput under overload", Measurement::Limits);
-    let retries =
-        decided("retries", "Duplicate runs, and the cost of claims", Measurement::Retries);
-    let membership = decided("membership", "Detection and traffic", Measurement::Membership);
-    let configuration =
-        decided("configuration", "Time until a change is in force", Measurement::Configuration);
-    let leaving = decided("leaving", "Last new flow at a leaving agent", Measurement::Leaving);
-    let finding = decided(
+    let forward = fixed_measurement(
+        "forward",
+        "Processor time of a balancer per packet",
+        Measurement::Forward,
+    );
+    let silence = fixed_measurement(
+        "silence",
+        "Time until callers of a killed agent detect it",
+        Measurement::Silence,
+    );
+    let routing = fixed_measurement("routing", "Placement against baselines", Measurement::Routing);
+    let limits = fixed_measurement("limits", "Goodput under overload", Measurement::Limits);
+    let retries = fixed_measurement(
+        "retries",
+        "Duplicate runs, and the cost of claims",
+        Measurement::Retries,
+    );
+    let membership =
+        fixed_measurement("membership", "Detection and traffic", Measurement::Membership);
+    let configuration = fixed_measurement(
+        "configuration",
+        "Time until a change is in force",
+        Measurement::Configuration,
+    );
+    let leaving =
+        fixed_measurement("leaving", "Last new flow at a leaving agent", Measurement::Leaving);
+    let finding = fixed_measurement(
         "finding",
         "Time to find the agent of a flow, by size of the fleet",
         Measurement::Finding,
     );
-    let capacity = decided(
+    let capacity = fixed_measurement(
         "capacity",
         "Cost per member, agent and class, for docs/CAPACITY.md",
         Measurement::Capacity,
--- a/crates/nutmegkeel_dev/src/measure/capacity.rs
+++ b/crates/nutmegkeel_dev/src/measure/capacity.rs
@@ -59,7 +59,7 @@
     let mut line = Map::new();
     for (name, counts) in [("members", MEMBERS), ("agents", AGENTS), ("classes", CLASSES)] {
         for count in counts {
-            let figures = in_own_process(name, count)?;
+            let figures = measure_in_subprocess(name, count)?;
             println!("{name:<8} {count:>8} {figures}");
             line.insert(format!("{name}_{count}"), figures);
         }
@@ -68,7 +68,7 @@
     Ok(true)
 }
 
-fn in_own_process(name: &str, count: u32) -> io::Result<Value> {
+fn measure_in_subprocess(name: &str, count: u32) -> io::Result<Value> {
     let output = Command::new(std::env::current_exe()?)
         .args(["measure", "capacity-point", name, &count.to_string()])
         .output()?;
@@ -78,15 +78,15 @@
 /// Measures one point and prints its figures as JSON.
 pub(super) fn run_point(point: Point) -> bool {
     let figures = match point {
-        Point::Members(count) => of_members(count),
-        Point::Agents(count) => of_agents(count),
-        Point::Classes(count) => of_classes(count),
+        Point::Members(count) => measure_members(count),
+        Point::Agents(count) => measure_agents(count),
+        Point::Classes(count) => measure_classes(count),
     };
     println!("{figures}");
     true
 }
 
-fn of_members(members: u32) -> Value {
+fn measure_members(members: u32) -> Value {
     let before = resident_bytes();
     let mut membership = Membership::open(balancer(0), Pace::default(), 1);
     let began = Instant::now();
@@ -112,7 +112,7 @@
     Rumor { record, health: Health::Alive }
 }
 
-fn of_agents(agents: u32) -> Value {
+fn measure_agents(agents: u32) -> Value {
     let before = resident_bytes();
     let mut pool = Pool::default();
     for number in 0..agents {
@@ -128,7 +128,7 @@
     json!({"place_us": place_us, "bytes_each": bytes})
 }
 
-fn of_classes(classes: u32) -> Value {
+fn measure_classes(classes: u32) -> Value {
     let before = resident_bytes();
     let mut peer = Peer::open(balancer(0), Pace::default(), 1);
     let began = Instant::now();
--- a/crates/nutmegkeel_dev/src/measure/configuration.rs
+++ b/crates/nutmegkeel_dev/src/measure/configuration.rs
@@ -6,8 +6,8 @@
 use serde_json::{Map, json};
 
 const BALANCERS: u16 = 200;
-const FORM_MS: u64 = 15_000;
-const LONGEST_MS: u64 = 30_000;
+const FORMATION_MS: u64 = 15_000;
+const TIMEOUT_MS: u64 = 30_000;
 /// Number of changes measured at each rate of message loss.
 const CHANGES: u64 = 10;
 /// Rates of message loss in percent, each with the aim for the slowest change in milliseconds.
@@ -21,7 +21,7 @@
     let mut met = true;
     for (loss, aim) in AIMS {
         let mut fleet = Fleet::open((0..BALANCERS).map(balancer).collect(), SEED);
-        fleet.run_for(FORM_MS);
+        fleet.run_for(FORMATION_MS);
         fleet.loss_percent = loss;
         let mut times: Vec<u64> =
             (1..=CHANGES).map(|revision| time_of_change(&mut fleet, revision)).collect();
@@ -47,7 +47,7 @@
     let done = |fleet: &Fleet| {
         fleet.peers.values().all(|peer| peer.book().revision() >= Revision(revision))
     };
-    while !done(fleet) && fleet.now.since(began) < LONGEST_MS {
+    while !done(fleet) && fleet.now.since(began) < TIMEOUT_MS {
         fleet.run_for(TICK_MS);
     }
     fleet.now.since(began)
--- a/crates/nutmegkeel_dev/src/measure/finding.rs
+++ b/crates/nutmegkeel_dev/src/measure/finding.rs
@@ -53,16 +53,16 @@
             );
         }
     }
-    let room = room_us();
-    println!("   200 agents of a full service: {room}");
-    line.insert("full_service_200".to_owned(), room);
+    let full_service = full_service_us();
+    println!("   200 agents of a full service: {full_service}");
+    line.insert("full_service_200".to_owned(), full_service);
     super::print_line(line);
     true
 }
 
 /// Measures the time to place a flow when all 200 agents of its service are full, the most
 /// expensive case.
-fn room_us() -> Value {
+fn full_service_us() -> Value {
     let pool = pool(200, 1);
     let choose_us = choose_us(&pool);
     let choose_free_us = mean_us(|port| {
@@ -78,7 +78,7 @@
     let mut pool = Pool::default();
     pool.balance_domains("domain-0".into());
     for number in 0..agents {
-        let word = Announcement {
+        let announcement = Announcement {
             incarnation: 1,
             number: 100,
             domain: format!("domain-{}", number % DOMAINS).into(),
@@ -91,7 +91,7 @@
             balancers: 0,
             replica: 0,
         };
-        pool.announced(Time::ZERO, Ipv4Addr::from_bits(0x0a00_0000 + number), word);
+        pool.announced(Time::ZERO, Ipv4Addr::from_bits(0x0a00_0000 + number), announcement);
     }
     pool
 }
--- a/crates/nutmegkeel_dev/src/measure/forward.rs
+++ b/crates/nutmegkeel_dev/src/measure/forward.rs
@@ -30,7 +30,7 @@
 /// Kernel clock ticks per second, the unit of processor time in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-struct Result {
+struct Sample {
     per_second: f64,
     cpu_us: f64,
 }
@@ -43,18 +43,18 @@
     let deployment = Deployment::open()?;
     std::thread::sleep(Duration::from_secs(2));
     let keys = deployment.keys()?;
-    let (desk, frames, balancer) = deployment.balancer(0)?;
-    let mut ways: [(&str, Vec<Result>); 3] =
+    let (class_address, frames, balancer) = deployment.balancer(0)?;
+    let mut paths: [(&str, Vec<Sample>); 3] =
         [("plain relay", Vec::new()), ("inbound", Vec::new()), ("outbound", Vec::new())];
     for _ in 0..RUNS {
-        ways[0].1.push(relayed()?);
-        ways[1].1.push(inbound(&keys, desk, balancer)?);
-        ways[2].1.push(outbound(&keys, frames, balancer)?);
+        paths[0].1.push(relayed()?);
+        paths[1].1.push(inbound(&keys, class_address, balancer)?);
+        paths[2].1.push(outbound(&keys, frames, balancer)?);
     }
     println!("{:<12} {:>12} {:>16} {:>14}", "way", "packets/s", "cpu us a packet", "times relay");
     let mut line = Map::new();
     let mut relay_us = 0.0;
-    for (name, results) in &mut ways {
+    for (name, results) in &mut paths {
         results.sort_by(|one, other| one.cpu_us.total_cmp(&other.cpu_us));
         let median = &results[RUNS / 2];
         if *name == "plain relay" {
@@ -72,7 +72,7 @@
     Ok(true)
 }
 
-fn relayed() -> io::Result<Result> {
+fn relayed() -> io::Result<Sample> {
     let target = receiver()?;
     let from = port::free(1)?[0];
     let arguments = ["relay".to_owned(), from.to_string(), target.local_addr()?.to_string()];
@@ -84,17 +84,17 @@
 }
 
 /// Measures packets from a caller through the balancer to an agent.
-fn inbound(keys: &Ring, desk: SocketAddr, balancer: u32) -> io::Result<Result> {
+fn inbound(keys: &Ring, class_address: SocketAddr, balancer: u32) -> io::Result<Sample> {
     let target = receiver()?;
     let hop = Hop { address: target.local_addr()?, instance: Instance::new(u32::MAX) };
     let id = cid::encode(keys, class::Id::of(CLASSES[0]), hop, 1).map_err(io::Error::other)?;
     let mut packet = [0x40; PACKET];
     packet[1..=id.len()].copy_from_slice(&id);
-    pump(desk, &packet, &target, balancer)
+    pump(class_address, &packet, &target, balancer)
 }
 
 /// Measures frames from an agent through the balancer to a caller.
-fn outbound(keys: &Ring, frames: SocketAddr, balancer: u32) -> io::Result<Result> {
+fn outbound(keys: &Ring, frames: SocketAddr, balancer: u32) -> io::Result<Sample> {
     let target = receiver()?;
     let outbound = Outbound {
         class: class::Id::of(CLASSES[0]),
@@ -116,7 +116,7 @@
 }
 
 /// Sends the same datagram repeatedly, at most [`WINDOW`] datagrams ahead of the receiver.
-fn pump(to: SocketAddr, datagram: &[u8], target: &UdpSocket, process: u32) -> io::Result<Result> {
+fn pump(to: SocketAddr, datagram: &[u8], target: &UdpSocket, process: u32) -> io::Result<Sample> {
     let received = Arc::new(AtomicU64::new(0));
     let over = Arc::new(AtomicBool::new(false));
     let counting = {
@@ -151,7 +151,7 @@
     over.store(true, Ordering::Relaxed);
     let _ = counting.join();
     let count = received.load(Ordering::Relaxed).max(1) as f64;
-    Ok(Result { per_second: count / LENGTH.as_secs_f64(), cpu_us: cpu * 1_000_000.0 / count })
+    Ok(Sample { per_second: count / LENGTH.as_secs_f64(), cpu_us: cpu * 1_000_000.0 / count })
 }
 
 /// Returns the processor time that a process has used, in seconds.
--- a/crates/nutmegkeel_dev/src/measure/leaving.rs
+++ b/crates/nutmegkeel_dev/src/measure/leaving.rs
@@ -15,7 +15,7 @@
 const AGENTS: u16 = 7;
 const BALANCERS: u64 = 3;
 /// Time between the first and the last balancer that learns of the leaving, in milliseconds.
-const APART_MS: u64 = 5_000;
+const PROPAGATION_MS: u64 = 5_000;
 const LEAVES_AT_MS: u64 = 5_000;
 const LENGTH_MS: u64 = 15_000;
 /// New flows per millisecond.
@@ -65,8 +65,8 @@
             agent.handle(time, Event::Leave);
         }
         for (by, pool) in pools.iter_mut().enumerate() {
-            let hears_at = LEAVES_AT_MS + by as u64 * APART_MS / (BALANCERS - 1);
-            if now == hears_at {
+            let learns_at = LEAVES_AT_MS + by as u64 * PROPAGATION_MS / (BALANCERS - 1);
+            if now == learns_at {
                 pool.remove(address(0));
             }
         }
--- a/crates/nutmegkeel_dev/src/measure/limits.rs
+++ b/crates/nutmegkeel_dev/src/measure/limits.rs
@@ -24,7 +24,7 @@
 const SEED: u64 = 1;
 
 #[derive(Default)]
-struct Result {
+struct Outcome {
     offered: u64,
     in_time: u64,
     refused: u64,
@@ -32,7 +32,7 @@
     refusal_waits_ms: Vec<u64>,
 }
 
-impl Result {
+impl Outcome {
     fn goodput(&self) -> f64 {
         self.in_time as f64 * 1_000.0 / LENGTH_MS as f64
     }
@@ -82,10 +82,10 @@
     whole as u64 + u64::from(rng.random::<f64>() < per_ms - whole)
 }
 
-fn gated(tenths: u64) -> Result {
+fn gated(tenths: u64) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(SEED);
     let mut gate = Gate::open(SLOTS, SEED);
-    let mut result = Result::default();
+    let mut result = Outcome::default();
     let mut arrived: Vec<u64> = Vec::new();
     let mut ends: BTreeMap<u64, Vec<Id>> = BTreeMap::new();
     for now in 0..LENGTH_MS {
@@ -122,9 +122,9 @@
 }
 
 /// Simulates a server that starts every request on arrival and shares its capacity among them.
-fn unlimited(tenths: u64) -> Result {
+fn unlimited(tenths: u64) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(SEED);
-    let mut result = Result::default();
+    let mut result = Outcome::default();
     let mut running: Vec<(u64, f64)> = Vec::new();
     for now in 0..LENGTH_MS {
         for _ in 0..arrivals(&mut rng, tenths) {
--- a/crates/nutmegkeel_dev/src/measure/path.rs
+++ b/crates/nutmegkeel_dev/src/measure/path.rs
@@ -19,9 +19,9 @@
 
 /// Latencies of one kind of step.
 #[derive(Default)]
-struct Times(Vec<Duration>);
+struct Latencies(Vec<Duration>);
 
-impl Times {
+impl Latencies {
     fn millis(&mut self, percent: usize) -> f64 {
         self.0.sort_unstable();
         let last = self.0.len().saturating_sub(1);
@@ -38,7 +38,7 @@
     let deployment = Deployment::open()?;
     let runtime = tokio::runtime::Runtime::new()?;
     let (mut opens, mut checks, mut filings) =
-        (Times::default(), Times::default(), Times::default());
+        (Latencies::default(), Latencies::default(), Latencies::default());
     let began = Instant::now();
     let work = call(&deployment, flows, &mut opens, &mut checks, &mut filings);
     runtime.block_on(work)?;
@@ -79,9 +79,9 @@
 async fn call(
     deployment: &Deployment,
     flows: u64,
-    opens: &mut Times,
-    checks: &mut Times,
-    filings: &mut Times,
+    opens: &mut Latencies,
+    checks: &mut Latencies,
+    filings: &mut Latencies,
 ) -> io::Result<()> {
     let classes = deployment.classes();
     calls::wait_until_served(deployment.certificate(), &classes).await?;
--- a/crates/nutmegkeel_dev/src/measure/routing.rs
+++ b/crates/nutmegkeel_dev/src/measure/routing.rs
@@ -31,27 +31,42 @@
 const SEED: u64 = 1;
 
 /// A strategy for placing flows.
-struct Way {
+struct Strategy {
     name: &'static str,
     rule: Rule,
     random: bool,
     /// Whether the first agent reports no load whatever its load is.
-    liar: bool,
+    misreports: bool,
 }
 
-const WAYS: [Way; 6] = [
-    Way { name: "random", rule: Rule::Rendezvous, random: true, liar: false },
-    Way { name: "round robin", rule: Rule::RoundRobin, random: false, liar: false },
-    Way { name: "rendezvous", rule: Rule::Rendezvous, random: false, liar: false },
-    Way { name: "loaded rendezvous", rule: Rule::LoadedRendezvous, random: false, liar: false },
-    Way { name: "round robin, one lies", rule: Rule::RoundRobin, random: false, liar: true },
-    Way { name: "loaded, one lies", rule: Rule::LoadedRendezvous, random: false, liar: true },
+const STRATEGIES: [Strategy; 6] = [
+    Strategy { name: "random", rule: Rule::Rendezvous, random: true, misreports: false },
+    Strategy { name: "round robin", rule: Rule::RoundRobin, random: false, misreports: false },
+    Strategy { name: "rendezvous", rule: Rule::Rendezvous, random: false, misreports: false },
+    Strategy {
+        name: "loaded rendezvous",
+        rule: Rule::LoadedRendezvous,
+        random: false,
+        misreports: false,
+    },
+    Strategy {
+        name: "round robin, one lies",
+        rule: Rule::RoundRobin,
+        random: false,
+        misreports: true,
+    },
+    Strategy {
+        name: "loaded, one lies",
+        rule: Rule::LoadedRendezvous,
+        random: false,
+        misreports: true,
+    },
 ];
 
-struct Result {
+struct Outcome {
     mean: f64,
     worst: f64,
-    apart: f64,
+    disagreement: f64,
 }
 
 /// Runs the measurement; returns true when the aim was met.
@@ -59,18 +74,18 @@
     println!("{:<24} {:>10} {:>10} {:>14}", "rule", "imbalance", "worst", "placed apart");
     let mut line = Map::new();
     let mut met = true;
-    for way in &WAYS {
-        let result = measure(way);
+    for strategy in &STRATEGIES {
+        let result = measure(strategy);
         println!(
             "{:<24} {:>10.3} {:>10.3} {:>13.1}%",
-            way.name, result.mean, result.worst, result.apart
+            strategy.name, result.mean, result.worst, result.disagreement
         );
-        if way.name == "loaded rendezvous" {
+        if strategy.name == "loaded rendezvous" {
             met = result.mean <= AIM;
         }
         line.insert(
-            way.name.replace([' ', ','], "_"),
-            json!({"imbalance": result.mean, "worst": result.worst, "apart_percent": result.apart}),
+            strategy.name.replace([' ', ','], "_"),
+            json!({"imbalance": result.mean, "worst": result.worst, "apart_percent": result.disagreement}),
         );
     }
     super::print_line(line);
@@ -85,32 +100,32 @@
     pool
 }
 
-fn measure(way: &Way) -> Result {
+fn measure(strategy: &Strategy) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(SEED);
     let mut balancers: Vec<Pool> = (0..BALANCERS).map(|_| pool()).collect();
     let mut open: BTreeMap<SocketAddr, u32> = (0..AGENTS).map(|n| (address(n), 0)).collect();
     let mut ends: BTreeMap<u64, Vec<(SocketAddr, usize)>> = BTreeMap::new();
     let mut samples = Vec::new();
-    let (mut placed, mut apart) = (0_u64, 0_u64);
+    let (mut placed, mut disagreement) = (0_u64, 0_u64);
     for now in 0..LENGTH_MS {
         for (agent, by) in ends.remove(&now).unwrap_or_default() {
             *open.entry(agent).or_default() -= 1;
-            report(way, &mut balancers[by], agent, &open);
+            report(strategy, &mut balancers[by], agent, &open);
         }
         for _ in 0..RATE / 1_000 {
             let key = Key::new(rng.random());
             let by = rng.random_range(0..BALANCERS);
             let count = u32::try_from(BALANCERS).unwrap_or(1);
-            let place = if way.random { Key::new(rng.random()) } else { key };
-            let other = balancers[(by + 1) % BALANCERS].clone().place(place, way.rule, count);
-            let Some(choice) = balancers[by].place(place, way.rule, count) else {
+            let place = if strategy.random { Key::new(rng.random()) } else { key };
+            let other = balancers[(by + 1) % BALANCERS].clone().place(place, strategy.rule, count);
+            let Some(choice) = balancers[by].place(place, strategy.rule, count) else {
                 continue;
             };
             placed += 1;
-            apart += u64::from(other.map(|other| other.first) != Some(choice.first));
+            disagreement += u64::from(other.map(|other| other.first) != Some(choice.first));
             let agent = choice.taker().address;
             *open.entry(agent).or_default() += 1;
-            report(way, &mut balancers[by], agent, &open);
+            report(strategy, &mut balancers[by], agent, &open);
             let life = rng.random_range(1..2 * LIFE_MS);
             ends.entry(now + life).or_default().push((agent, by));
         }
@@ -120,14 +135,19 @@
     }
     let mean = samples.iter().sum::<f64>() / samples.len() as f64;
     let worst = samples.iter().copied().fold(0.0, f64::max);
-    Result { mean, worst, apart: 100.0 * apart as f64 / placed as f64 }
+    Outcome { mean, worst, disagreement: 100.0 * disagreement as f64 / placed as f64 }
 }
 
 /// Passes an agent's load report to the balancer that forwarded the flow's packet, since answers
 /// carry the report.
-fn report(way: &Way, balancer: &mut Pool, agent: SocketAddr, open: &BTreeMap<SocketAddr, u32>) {
-    let lies = way.liar && agent == address(0);
-    let connections = if lies { 0 } else { open[&agent] };
+fn report(
+    strategy: &Strategy,
+    balancer: &mut Pool,
+    agent: SocketAddr,
+    open: &BTreeMap<SocketAddr, u32>,
+) {
+    let is_misreporting = strategy.misreports && agent == address(0);
+    let connections = if is_misreporting { 0 } else { open[&agent] };
     let hop = Hop { address: agent, instance: Instance::new(1) };
     balancer.heard(hop, Report { connections, busy: 0, queued: 0 });
 }
--- a/crates/nutmegkeel_dev/src/model.rs
+++ b/crates/nutmegkeel_dev/src/model.rs
@@ -37,11 +37,11 @@
     for model in &MODELS {
         std::fs::write(directory.join("model.pml"), model.source)?;
         let holds = check(&directory, None)?;
-        println!("{}: with all guards {}", model.name, word(holds));
+        println!("{}: with all guards {}", model.name, result_text(holds));
         as_expected &= holds;
         for guard in model.guards {
             let holds = check(&directory, Some(guard))?;
-            println!("{}: with {guard} {}", model.name, word(holds));
+            println!("{}: with {guard} {}", model.name, result_text(holds));
             as_expected &= !holds;
         }
     }
@@ -50,7 +50,7 @@
     Ok(as_expected)
 }
 
-const fn word(holds: bool) -> &'static str {
+const fn result_text(holds: bool) -> &'static str {
     if holds { "holds" } else { "fails" }
 }
 
@@ -58,11 +58,11 @@
     let define = without.map(|guard| format!("-D{guard}"));
     let mut generate = Command::new("spin");
     generate.args(&define).args(["-a", "model.pml"]);
-    finish(generate, directory)?;
+    run_command(generate, directory)?;
     let mut compile = Command::new("cc");
     compile.args(["-O1", "-DSAFETY", "-o", "pan", "pan.c"]);
-    finish(compile, directory)?;
-    let output = finish(Command::new(directory.join("pan")), directory)?;
+    run_command(compile, directory)?;
+    let output = run_command(Command::new(directory.join("pan")), directory)?;
     if !output.contains("State-vector") {
         return Err(io::Error::other(format!(
             "the state space of the model was not searched: {output}"
@@ -71,7 +71,7 @@
     Ok(output.contains("errors: 0"))
 }
 
-fn finish(mut command: Command, directory: &Path) -> io::Result<String> {
+fn run_command(mut command: Command, directory: &Path) -> io::Result<String> {
     let name = command.get_program().to_string_lossy().into_owned();
     let ended = command.current_dir(directory).output().map_err(|error| {
         io::Error::other(format!("{name}: {error}; install it with `apt-get install spin gcc`"))
--- a/crates/nutmegkeel_dev/src/standin/backend.rs
+++ b/crates/nutmegkeel_dev/src/standin/backend.rs
@@ -142,9 +142,9 @@
     if path == "/drain" {
         return Ok(drain(&state).await);
     }
-    let _busy = Busy::open(Arc::clone(&state), &request);
+    let _guard = RequestGuard::open(Arc::clone(&state), &request);
     let mut response = match (request.method(), path.as_str()) {
-        (&Method::POST, "/filings") => file(&state, request).await,
+        (&Method::POST, "/filings") => accept_filing(&state, request).await,
         (&Method::GET, "/download") => download(parameter(&request, "parts")),
         (&Method::GET, "/feed") => {
             state.records().feeds += 1;
@@ -168,11 +168,11 @@
 }
 
 /// Counts a request as in progress until the head of its response is ready.
-struct Busy {
+struct RequestGuard {
     state: Arc<State>,
 }
 
-impl Busy {
+impl RequestGuard {
     fn open(state: Arc<State>, request: &Request<Incoming>) -> Self {
         {
             let mut records = state.records();
@@ -188,7 +188,7 @@
     }
 }
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.state.records().busy -= 1;
     }
@@ -201,7 +201,7 @@
     text(status, String::new())
 }
 
-async fn file(state: &State, request: Request<Incoming>) -> Response<Body> {
+async fn accept_filing(state: &State, request: Request<Incoming>) -> Response<Body> {
     let key = request.headers().get("idempotency-key").and_then(|value| value.to_str().ok());
     let key = key.unwrap_or_default().to_owned();
     let Ok(collected) = request.into_body().collect().await else {
--- a/crates/nutmegkeel_dev/src/standin/fabric.rs
+++ b/crates/nutmegkeel_dev/src/standin/fabric.rs
@@ -14,11 +14,11 @@
 use tokio::net::UdpSocket;
 
 /// Interval between two health checks of a balancer, and their timeout.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time without a packet after which a caller's socket is closed.
-const FORGET: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Largest datagram, in bytes.
-const LARGEST: usize = 2_048;
+const MAX_DATAGRAM: usize = 2_048;
 
 /// Addresses at which a balancer receives packets and reports its health.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -43,7 +43,7 @@
 
 struct Caller {
     socket: Arc<UdpSocket>,
-    heard: Instant,
+    last_seen: Instant,
 }
 
 /// Runs the stand-in until the process ends.
@@ -56,21 +56,21 @@
     let healthy: Healthy = Arc::default();
     for balancer in settings.balancers {
         let healthy = Arc::clone(&healthy);
-        std::thread::spawn(move || watch(&balancer, &healthy));
+        std::thread::spawn(move || check_health(&balancer, &healthy));
     }
     runtime.block_on(async {
         let mut tasks = tokio::task::JoinSet::new();
         for (index, address) in settings.public.into_iter().enumerate() {
             let socket = Arc::new(UdpSocket::bind(address).await?);
-            tasks.spawn(spray(socket, index, Arc::clone(&healthy)));
+            tasks.spawn(forward(socket, index, Arc::clone(&healthy)));
         }
         while tasks.join_next().await.is_some() {}
         Ok(())
     })
 }
 
-fn watch(balancer: &Balancer, healthy: &Healthy) {
-    let config = ureq::Agent::config_builder().timeout_global(Some(LOOK_EVERY)).build();
+fn check_health(balancer: &Balancer, healthy: &Healthy) {
+    let config = ureq::Agent::config_builder().timeout_global(Some(HEALTH_CHECK_INTERVAL)).build();
     let http = ureq::Agent::new_with_config(config);
     let url = format!("http://{}/health", balancer.web);
     loop {
@@ -81,13 +81,13 @@
             listed.push(balancer.clone());
         }
         drop(listed);
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(HEALTH_CHECK_INTERVAL);
     }
 }
 
-async fn spray(public: Arc<UdpSocket>, index: usize, healthy: Healthy) {
+async fn forward(public: Arc<UdpSocket>, index: usize, healthy: Healthy) {
     let callers: Callers = Arc::default();
-    let mut datagram = [0; LARGEST];
+    let mut datagram = [0; MAX_DATAGRAM];
     loop {
         let Ok((length, from)) = public.recv_from(&mut datagram).await else {
             continue;
@@ -95,7 +95,7 @@
         let Some(balancer) = pick(&healthy, index) else {
             continue;
         };
-        let Ok(socket) = socket_of(&callers, &public, from).await else {
+        let Ok(socket) = caller_socket(&callers, &public, from).await else {
             continue;
         };
         // The fabric may lose packets; QUIC retransmits them.
@@ -109,7 +109,7 @@
     balancer.desks.get(index).copied()
 }
 
-async fn socket_of(
+async fn caller_socket(
     callers: &Callers,
     public: &Arc<UdpSocket>,
     from: SocketAddr,
@@ -117,27 +117,27 @@
     {
         let mut callers = callers.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(caller) = callers.get_mut(&from) {
-            caller.heard = Instant::now();
+            caller.last_seen = Instant::now();
             return Ok(Arc::clone(&caller.socket));
         }
     }
     let socket = Arc::new(UdpSocket::bind((from.ip(), 0)).await?);
-    let caller = Caller { socket: Arc::clone(&socket), heard: Instant::now() };
+    let caller = Caller { socket: Arc::clone(&socket), last_seen: Instant::now() };
     callers.lock().unwrap_or_else(PoisonError::into_inner).insert(from, caller);
     let back = (Arc::clone(callers), Arc::clone(public), Arc::clone(&socket));
-    tokio::spawn(bring_back(back.0, back.1, back.2, from));
+    tokio::spawn(forward_replies(back.0, back.1, back.2, from));
     Ok(socket)
 }
 
-async fn bring_back(
+async fn forward_replies(
     callers: Callers,
     public: Arc<UdpSocket>,
     socket: Arc<UdpSocket>,
     caller: SocketAddr,
 ) {
-    let mut datagram = [0; LARGEST];
+    let mut datagram = [0; MAX_DATAGRAM];
     loop {
-        let received = tokio::time::timeout(FORGET, socket.recv_from(&mut datagram)).await;
+        let received = tokio::time::timeout(IDLE_TIMEOUT, socket.recv_from(&mut datagram)).await;
         match received {
             Ok(Ok((length, _))) => {
                 let _ = public.send_to(&datagram[..length], caller).await;
@@ -145,8 +145,10 @@
             Ok(Err(_)) => {}
             Err(_) => {
                 let mut callers = callers.lock().unwrap_or_else(PoisonError::into_inner);
-                let quiet = callers.get(&caller).is_none_or(|known| known.heard.elapsed() > FORGET);
-                if quiet {
+                let is_idle = callers
+                    .get(&caller)
+                    .is_none_or(|known| known.last_seen.elapsed() > IDLE_TIMEOUT);
+                if is_idle {
                     callers.remove(&caller);
                     return;
                 }
--- a/crates/nutmegkeel_dev/src/standin/platform.rs
+++ b/crates/nutmegkeel_dev/src/standin/platform.rs
@@ -126,17 +126,17 @@
         thread::sleep(Duration::from_millis(millis));
     }
     if mode == Mode::Down {
-        return break_off(request);
+        return drop_connection(request);
     }
     let answered = call(&mut lock(state), &path, &body);
     if mode == Mode::LoseAnswers && path != "/v3/kv/range" {
-        return break_off(request);
+        return drop_connection(request);
     }
     answer(request, &answered);
 }
 
 /// Closes the connection without an answer.
-fn break_off(request: Request) {
+fn drop_connection(request: Request) {
     drop(request.into_writer());
 }
 
@@ -148,7 +148,7 @@
 }
 
 fn call(state: &mut State, path: &str, body: &Value) -> Value {
-    state.end_leases();
+    state.remove_expired();
     match path {
         "/v3/kv/range" => state.range(body),
         "/v3/kv/txn" => state.txn(body),
@@ -203,7 +203,7 @@
         json!({"header": self.header(), "ID": id.to_string(), "TTL": seconds.to_string()})
     }
 
-    fn end_leases(&mut self) {
+    fn remove_expired(&mut self) {
         let now = Instant::now();
         let leases = &self.leases;
         let lives = |lease: i64| leases.get(&lease).is_some_and(|end| *end > now);
--- a/crates/nutmegkeel_dev/src/standin/relay.rs
+++ b/crates/nutmegkeel_dev/src/standin/relay.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, UdpSocket};
 
 /// Largest datagram, in bytes.
-const LARGEST: usize = 2_048;
+const MAX_DATAGRAM: usize = 2_048;
 
 /// Forwards every datagram received at `from` to `to` until the process ends.
 ///
@@ -13,7 +13,7 @@
 pub fn run(from: SocketAddr, to: SocketAddr) -> io::Result<()> {
     let socket = UdpSocket::bind(from)?;
     let onward = UdpSocket::bind((from.ip(), 0))?;
-    let mut datagram = [0; LARGEST];
+    let mut datagram = [0; MAX_DATAGRAM];
     loop {
         let (length, _) = socket.recv_from(&mut datagram)?;
         let _ = onward.send_to(&datagram[..length], to);
--- a/crates/nutmegkeel_dev/tests/compare.rs
+++ b/crates/nutmegkeel_dev/tests/compare.rs
@@ -31,17 +31,17 @@
 }
 
 #[test]
-fn a_summary_has_the_interval_of_its_mean() {
+fn summary_has_confidence_interval() {
     let summary = Summary::of(&[1.0, 2.0, 3.0, 4.0]).expect("there are figures");
 
     assert!((summary.mean - 2.5).abs() < 1e-9);
     // Three degrees of freedom: 3.182 times the standard error of 0.6455.
     assert!((summary.margin.expect("more than one") - 2.054).abs() < 1e-3, "{summary:?}");
-    assert_eq!((summary.least, summary.most), (1.0, 4.0));
+    assert_eq!((summary.min, summary.max), (1.0, 4.0));
 }
 
 #[test]
-fn one_figure_has_no_interval_and_none_has_no_summary() {
+fn single_figure_has_no_interval_and_empty_sample_no_summary() {
     assert_eq!(Summary::of(&[0.9]).expect("a figure").margin, None);
     assert_eq!(Summary::of(&[]), None);
 }
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_broken_rule_is_named() {
+fn broken_rule_is_reported() {
     let folder = folder("broken");
     let ways = [way("standing", &folder), way("other", &folder)];
     let cells = vec![
@@ -85,13 +85,13 @@
 }
 
 #[test]
-fn a_report_that_lacks_a_field_is_no_report() {
+fn report_without_a_field_is_a_failed_play() {
     assert!(matches!(read(r#"{"G":0.9}"#), Outcome::Failed(_)));
 }
 
 /// The bench is a program that runs in each checkout; here a script that copies the report there.
 #[test]
-fn a_whole_comparison_plays_both_checkouts() {
+fn complete_comparison_plays_both_checkouts() {
     let folder = folder("whole");
     let bench = folder.join("bench");
     let script = "#!/bin/sh\nwhile [ $# -gt 0 ]; do\n  [ \"$1\" = --report ] && cp report.json \"$2\"\n  shift\ndone\n";
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_way_names_its_checkout() {
+fn way_is_parsed_from_name_and_folder() {
     assert_eq!("fifo=/tmp/a".parse(), Ok(way("fifo", Path::new("/tmp/a"))));
     assert!("fifo".parse::<Way>().is_err());
 }
--- a/crates/nutmegkeel_dev/tests/demo.rs
+++ b/crates/nutmegkeel_dev/tests/demo.rs
@@ -35,7 +35,7 @@
 /// Guards against dropped packets: every third one was lost until a retransmission, because callers
 /// were allowed to clear the bit by which balancers distinguish packets from frames (RFC 9287).
 #[test]
-fn no_packet_of_a_caller_is_taken_for_something_else() {
+fn no_caller_packet_is_misclassified() {
     let ran = Command::new(env!("CARGO_BIN_EXE_nutmegkeel_dev"))
         .args(["measure", "path", "--flows", "20"])
         .output()
--- a/models/at_most_once.pml
+++ b/models/at_most_once.pml
@@ -1,7 +1,7 @@
 /* A keyed request that two agents may both receive: its caller retries at the other agent after a
  * loss, a crash or a pause. An agent creates the claim once in the platform's store. The answer to
- * that call may be lost, the store deletes the claim after KEPT time steps, and an agent may pause
- * or crash between any two steps. Callers retry within HORIZON. Reading the clock and sending the
+ * that call may be lost, the store deletes the claim after CLAIM_RETENTION time steps, and an agent may pause
+ * or crash between any two steps. Callers retry within RETRY_WINDOW. Reading the clock and sending the
  * request count as one step; docs/PROOFS.md describes what the model therefore leaves out.
  * Property: the request runs at most once.
  *
@@ -12,15 +12,15 @@
  *   NO_IDENTITY  after a lost answer, treat any existing claim as one's own
  */
 #define AGENTS 2
-#define HORIZON 1
-#define USABLE 1
-#define KEPT 3
-#define NOBODY 255
+#define RETRY_WINDOW 1
+#define CLAIM_VALIDITY 1
+#define CLAIM_RETENTION 3
+#define NO_OWNER 255
 
-byte owner = NOBODY;   /* agent that holds the claim in the platform's store */
+byte owner = NO_OWNER;   /* agent that holds the claim in the platform's store */
 byte age = 0;          /* time since the claim was created */
 byte runs = 0;         /* number of runs at the backend server */
-byte held[AGENTS];     /* time since arrival by each agent's own clock */
+byte elapsed[AGENTS];     /* time since arrival by each agent's own clock */
 byte step = 0;         /* time since the caller's first attempt */
 
 inline run_once() {
@@ -29,33 +29,33 @@
 }
 
 proctype Agent(byte me) {
-  bool ours = false;
+  bool owned = false;
   atomic {                              /* the request arrives, or is lost */
     if
-    :: step <= HORIZON -> held[me] = 0
+    :: step <= RETRY_WINDOW -> elapsed[me] = 0
     :: goto done
     fi
   };
 #ifdef NO_CLAIM
-  ours = true;
+  owned = true;
 #else
   atomic {                              /* compare-and-swap: create if it does not exist */
 #ifdef NO_ARRIVAL
-    held[me] = 0;
+    elapsed[me] = 0;
 #endif
     if
-    :: owner == NOBODY -> owner = me; age = 0; ours = true
+    :: owner == NO_OWNER -> owner = me; age = 0; owned = true
     :: else -> skip
     fi
   };
   if
   :: skip                               /* the answer arrives */
-  :: ours = false;                      /* the answer is lost: read the claim back */
+  :: owned = false;                      /* the answer is lost: read the claim back */
      atomic {
 #ifdef NO_IDENTITY
-       ours = (owner != NOBODY)
+       owned = (owner != NO_OWNER)
 #else
-       ours = (owner == me)
+       owned = (owner == me)
 #endif
      }
   :: goto done                          /* the agent crashes here */
@@ -65,10 +65,10 @@
   atomic {
     if
 #ifdef NO_CLOCK
-    :: ours -> run_once()
+    :: owned -> run_once()
     :: else -> skip
 #else
-    :: ours && held[me] <= USABLE -> run_once()
+    :: owned && elapsed[me] <= CLAIM_VALIDITY -> run_once()
     :: else -> skip
 #endif
     fi
@@ -83,10 +83,10 @@
      atomic {
        step++;
        age++;
-       held[0]++;
-       held[1]++;
+       elapsed[0]++;
+       elapsed[1]++;
        if
-       :: owner != NOBODY && age >= KEPT -> owner = NOBODY
+       :: owner != NO_OWNER && age >= CLAIM_RETENTION -> owner = NO_OWNER
        :: else -> skip
        fi
      }
--- a/models/change.pml
+++ b/models/change.pml
@@ -29,12 +29,12 @@
   fi;
 #ifndef NO_IDENTITY
   if
-  :: mine -> goto told_accepted
+  :: mine -> goto reported_accepted
   :: else -> skip
   fi;
 #endif
   if
-  :: seen != 0 -> goto told_conflict
+  :: seen != 0 -> goto reported_conflict
   :: else -> skip
   fi;
   if
@@ -45,17 +45,17 @@
        fi
      };
      if
-     :: mine -> goto told_accepted                    /* its answer arrives */
+     :: mine -> goto reported_accepted                    /* its answer arrives */
      :: !mine -> goto again
      :: in_doubt = true; goto again                   /* its answer is lost */
      fi
   :: in_doubt = true; goto again                      /* the swap is lost, unknown to the operator */
   :: goto again                                       /* not sent */
   fi;
-told_accepted:
+reported_accepted:
   atomic { assert(written[me]); accepted++; assert(accepted <= 1) };
   goto done;
-told_conflict:
+reported_conflict:
   assert(!written[me]);
   goto done;
 give_up:
