--- a/models/at_most_once.pml
+++ b/models/at_most_once.pml
@@ -1,8 +1,8 @@
 /* A keyed request that two agents may both receive: its caller retries at the other agent after a
  * loss, a crash or a pause. An agent creates the claim once in the platform's store. The answer to
- * that call may be lost, the store deletes the claim after CLAIM_RETENTION time steps, and an agent may pause
- * or crash between any two steps. Callers retry within RETRY_WINDOW. Reading the clock and sending the
- * request count as one step; docs/PROOFS.md describes what the model therefore leaves out.
+ * that call may be lost, the store deletes the claim after CLAIM_RETENTION time steps, and an agent
+ * may pause or crash between any two steps. Callers retry within RETRY_WINDOW. Reading the clock
+ * and sending count as one step; docs/PROOFS.md says what the model therefore leaves out.
  * Property: the request runs at most once.
  *
  * Guards that can be disabled to show the bug that each prevents:
@@ -17,10 +17,10 @@
 #define CLAIM_RETENTION 3
 #define NO_OWNER 255
 
-byte owner = NO_OWNER;   /* agent that holds the claim in the platform's store */
+byte owner = NO_OWNER; /* agent that holds the claim in the platform's store */
 byte age = 0;          /* time since the claim was created */
 byte runs = 0;         /* number of runs at the backend server */
-byte elapsed[AGENTS];     /* time since arrival by each agent's own clock */
+byte elapsed[AGENTS];  /* time since arrival by each agent's own clock */
 byte step = 0;         /* time since the caller's first attempt */
 
 inline run_once() {
@@ -50,7 +50,7 @@
   };
   if
   :: skip                               /* the answer arrives */
-  :: owned = false;                      /* the answer is lost: read the claim back */
+  :: owned = false;                     /* the answer is lost: read the claim back */
      atomic {
 #ifdef NO_IDENTITY
        owned = (owner != NO_OWNER)
--- a/models/change.pml
+++ b/models/change.pml
@@ -45,11 +45,11 @@
        fi
      };
      if
-     :: mine -> goto reported_accepted                    /* its answer arrives */
+     :: mine -> goto reported_accepted                /* its answer arrives */
      :: !mine -> goto again
      :: in_doubt = true; goto again                   /* its answer is lost */
      fi
-  :: in_doubt = true; goto again                      /* the swap is lost, unknown to the operator */
+  :: in_doubt = true; goto again                      /* the swap is lost, unnoticed */
   :: goto again                                       /* not sent */
   fi;
 reported_accepted:
