--- a/crates/nutmegkeel_dev/src/compare/table.rs
+++ b/crates/nutmegkeel_dev/src/compare/table.rs
@@ -51,8 +51,7 @@
         }
     }
 
-    /// Returns the days by deployment and name. The row of a deployment with all its days has no
-    /// name.
+    /// Returns the days by deployment and name. The row for all days of a deployment has no name.
     fn rows(&self) -> BTreeMap<(String, Option<String>), Vec<&Day>> {
         let mut rows: BTreeMap<_, Vec<&Day>> = BTreeMap::new();
         for (day, way) in self.plays.keys() {
--- a/crates/nutmegkeel_dev/src/measure/forward.rs
+++ b/crates/nutmegkeel_dev/src/measure/forward.rs
@@ -25,7 +25,7 @@
 const WINDOW: u64 = 64;
 /// Duration of one run.
 const LENGTH: Duration = Duration::from_secs(3);
-/// Number of runs of each path, which alternate; the median is reported.
+/// Number of runs of each path. The paths take turns, and the median is reported.
 const RUNS: usize = 3;
 /// Kernel clock ticks per second, the unit of processor time in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
@@ -35,7 +35,7 @@
     cpu_us: f64,
 }
 
-/// Runs the measurement, which reports the ratio to the relay, has no aim and always passes.
+/// Runs the measurement, which reports the ratio to the relay and always passes.
 ///
 /// # Errors
 /// When the system does not come up.
--- a/crates/nutmegkeel_dev/src/measure/leaving.rs
+++ b/crates/nutmegkeel_dev/src/measure/leaving.rs
@@ -1,5 +1,5 @@
-//! Time of the last new flow at a leaving agent, when balancers learn of its leaving up to 5 s
-//! apart.
+//! Time of the last new flow at a leaving agent, when balancers learn up to 5 s apart that it
+//! leaves.
 
 use nutmegkeel_core::agent::{Action, Agent, Event, Opening};
 use nutmegkeel_core::clock::Time;
@@ -14,7 +14,7 @@
 
 const AGENTS: u16 = 7;
 const BALANCERS: u64 = 3;
-/// Time between the first and the last balancer that learns of the leaving, in milliseconds.
+/// Time between the first and the last balancer that learns that the agent leaves, in milliseconds.
 const PROPAGATION_MS: u64 = 5_000;
 const LEAVES_AT_MS: u64 = 5_000;
 const LENGTH_MS: u64 = 15_000;
@@ -52,7 +52,7 @@
     agent
 }
 
-/// Returns the time from the leaving to the last flow that the agent accepted, in milliseconds, and
+/// Returns the milliseconds from the start of leaving to the last flow that the agent accepted, and
 /// the number of flows that it passed on.
 fn measure(agent_decides: bool) -> (u64, u64) {
     let mut rng = SmallRng::seed_from_u64(SEED);
--- a/crates/nutmegkeel_dev/src/measure/path.rs
+++ b/crates/nutmegkeel_dev/src/measure/path.rs
@@ -14,7 +14,7 @@
 const CHECKS: u64 = 3;
 /// Time for the warm-up of new agents to end.
 const SETTLE: Duration = Duration::from_secs(3);
-/// Reasons of drops by which a balancer reports that it did not recognize a caller's packet.
+/// Drop reasons that mean that a balancer did not recognize a caller's packet.
 const NOT_UNDERSTOOD: [&str; 3] = ["not_quic", "frame_header", "frame_mac"];
 
 /// Latencies of one kind of step.
--- a/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
@@ -19,7 +19,7 @@
 /// Ports of the two classes of requests.
 const PORTS: [u16; 2] = [443, 444];
 
-/// Number of fault kinds without load, and of load fault kinds.
+/// Number of fault kinds that do not change load, and of those that do.
 const FAULTS: i32 = 11;
 const LOAD_FAULTS: i32 = 4;
 
--- a/crates/nutmegkeel_fake/src/soak.rs
+++ b/crates/nutmegkeel_fake/src/soak.rs
@@ -19,7 +19,7 @@
 const FORMATION_MS: u64 = 15_000;
 /// Time after the last fault within which all members must agree, in milliseconds.
 const RECOVERY_MS: u64 = 40_000;
-/// Time after a fault at a process in which others may still declare it dead, in milliseconds.
+/// Time after a fault during which others may still declare the process dead, in milliseconds.
 const DISTURBANCE_MS: u64 = 30_000;
 
 /// A fault, or the end of one.
--- a/models/change.pml
+++ b/models/change.pml
@@ -49,7 +49,7 @@
      :: !mine -> goto again
      :: in_doubt = true; goto again                   /* its answer is lost */
      fi
-  :: in_doubt = true; goto again                      /* the swap is lost, unnoticed */
+  :: in_doubt = true; goto again                      /* the swap is lost, which looks the same */
   :: goto again                                       /* not sent */
   fi;
 reported_accepted:
