--- a/crates/nutmegkeel_dev/src/demo/deployment.rs
+++ b/crates/nutmegkeel_dev/src/demo/deployment.rs
@@ -415,8 +415,8 @@
     if !build.status()?.success() {
         return Err(io::Error::other("the product could not be built"));
     }
-    let beside = tool.parent().map(|directory| directory.join("nutmegkeel"));
-    beside
+    let product = tool.parent().map(|directory| directory.join("nutmegkeel"));
+    product
         .filter(|path| path.exists())
         .ok_or_else(|| io::Error::other("the product is not in the directory of this tool"))
 }
--- a/crates/nutmegkeel_dev/src/soak.rs
+++ b/crates/nutmegkeel_dev/src/soak.rs
@@ -41,7 +41,7 @@
 /// When the path of the running program is unknown, or a run panics.
 pub fn run_processes(first_seed: u64, count: u64, seconds: u64) -> std::io::Result<bool> {
     let program = processes::program_path()?;
-    let mut good = true;
+    let mut passed = true;
     let mut seed = first_seed;
     while seed < first_seed + count {
         let until = (seed + CONCURRENT_RUNS).min(first_seed + count);
@@ -55,11 +55,11 @@
             .collect();
         for run in runs {
             let report = run.join().map_err(|_| std::io::Error::other("a soak run panicked"))?;
-            good &= print(&report);
+            passed &= print(&report);
         }
         seed = until;
     }
-    Ok(good)
+    Ok(passed)
 }
 
 fn network_of(seed: u64) -> u8 {
--- a/crates/nutmegkeel_dev/src/soak/processes/caller.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/caller.rs
@@ -189,8 +189,8 @@
     }
 
     fn allocate_ports(&mut self, count: u16) -> u16 {
-        let is_left = self.next_port.checked_add(2 * count).is_some();
-        let first = if is_left { self.next_port } else { FIRST_PORT };
+        let are_left = self.next_port.checked_add(2 * count).is_some();
+        let first = if are_left { self.next_port } else { FIRST_PORT };
         self.next_port = first + count;
         first
     }
--- a/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
@@ -116,11 +116,11 @@
     /// Restarts the process of a host. Records a disturbance unless it is a graceful stop of a
     /// process that was not suspended.
     fn restart(&mut self, host: Ipv4Addr, signal: Signal) {
-        let stood = self.frozen.contains(&host);
-        if signal == Signal::Kill || stood {
+        let was_frozen = self.frozen.contains(&host);
+        if signal == Signal::Kill || was_frozen {
             self.checker.record_disturbance(host);
         }
-        if stood {
+        if was_frozen {
             self.fleet.signal(host, Signal::Continue);
             self.frozen.retain(|other| *other != host);
         }
@@ -290,8 +290,8 @@
     /// Checks that after the faults the right service answers every request through any balancer,
     /// and that no process has exited by itself. Returns the faults.
     pub(super) fn check_recovery(mut self) -> Vec<String> {
-        let asker = self.fleet.client(FINAL_CLIENT);
-        let client = Client::bind(asker, self.fleet.ports);
+        let client_address = self.fleet.client(FINAL_CLIENT);
+        let client = Client::bind(client_address, self.fleet.ports);
         let balancers = self.fleet.balancers();
         for (number, from_port) in (40_000..40_024).enumerate() {
             let through = [balancers[number % balancers.len()]];
@@ -303,7 +303,9 @@
                 |mut open| client.request(&mut open, &through, Duration::from_secs(2)),
             );
             match outcome {
-                Outcome::Answered(id) => self.checker.record_answer(asker, port, &id, sent),
+                Outcome::Answered(id) => {
+                    self.checker.record_answer(client_address, port, &id, sent)
+                }
                 other => self.checker.record_violation(format!(
                     "after the faults a request to port {port} through {} ended in {other:?}",
                     through[0]
--- a/crates/nutmegkeel_dev/src/standin/backend.rs
+++ b/crates/nutmegkeel_dev/src/standin/backend.rs
@@ -179,8 +179,8 @@
             records.requests += 1;
             records.busy += 1;
             records.most_busy = records.most_busy.max(records.busy);
-            let meant = request.headers().get(CLASS_HEADER).map(|value| value.as_bytes());
-            if meant != Some(state.settings.class.as_bytes()) {
+            let addressed = request.headers().get(CLASS_HEADER).map(|value| value.as_bytes());
+            if addressed != Some(state.settings.class.as_bytes()) {
                 records.wrong_desk += 1;
             }
         }
--- a/crates/nutmegkeel_dev/src/standin/platform.rs
+++ b/crates/nutmegkeel_dev/src/standin/platform.rs
@@ -206,8 +206,8 @@
     fn remove_expired(&mut self) {
         let now = Instant::now();
         let leases = &self.leases;
-        let lives = |lease: i64| leases.get(&lease).is_some_and(|end| *end > now);
-        self.keys.retain(|_, stored| stored.lease.is_none_or(lives));
+        let is_valid = |lease: i64| leases.get(&lease).is_some_and(|end| *end > now);
+        self.keys.retain(|_, stored| stored.lease.is_none_or(is_valid));
     }
 }
 
