--- a/crates/nutmegkeel_core/tests/membership.rs
+++ b/crates/nutmegkeel_core/tests/membership.rs
@@ -19,16 +19,16 @@
 fn separate_groups_find_each_other() {
     // Arrange: two groups that cannot reach each other while they form.
     let mut fleet = fleet_of(2, 4, 1);
-    fleet.island = [address(0), address(100), address(101)].into();
+    fleet.partitioned = [address(0), address(100), address(101)].into();
     fleet.run_for(3_000);
-    assert!(!fleet.agrees());
+    assert!(!fleet.has_converged());
 
     // Act
-    fleet.island.clear();
+    fleet.partitioned.clear();
     fleet.run_for(10_000);
 
     // Assert
-    assert!(fleet.agrees());
+    assert!(fleet.has_converged());
 }
 
 #[test]
@@ -39,8 +39,8 @@
 
         fleet.run_for(8_000);
 
-        assert!(fleet.knows_all(), "seed {seed}");
-        assert_eq!(fleet.gone, [], "seed {seed}");
+        assert!(fleet.has_full_membership(), "seed {seed}");
+        assert_eq!(fleet.declared_dead, [], "seed {seed}");
     }
 }
 
@@ -50,13 +50,13 @@
 fn a_dead_process_is_declared_dead_by_all_within_five_seconds() {
     let mut fleet = fleet_of(4, 16, 2);
     fleet.run_for(8_000);
-    assert!(fleet.agrees());
+    assert!(fleet.has_converged());
 
     fleet.halted.insert(address(103));
     fleet.run_for(5_000);
 
-    assert!(fleet.agrees());
-    assert!(fleet.gone.iter().all(|(_, dead)| *dead == address(103)));
+    assert!(fleet.has_converged());
+    assert!(fleet.declared_dead.iter().all(|(_, dead)| *dead == address(103)));
 }
 
 /// Guards against resets of all flows of healthy agents after a pause of a balancer: to it, all its
@@ -68,13 +68,13 @@
 
     fleet.halted.insert(address(0));
     fleet.run_for(20_000);
-    fleet.gone.clear();
+    fleet.declared_dead.clear();
     fleet.halted.remove(&address(0));
     fleet.run_for(10_000);
 
-    let by_the_paused = fleet.gone.iter().filter(|(observer, _)| *observer == address(0));
+    let by_the_paused = fleet.declared_dead.iter().filter(|(observer, _)| *observer == address(0));
     assert_eq!(by_the_paused.count(), 0);
-    assert!(fleet.agrees());
+    assert!(fleet.has_converged());
 }
 
 /// Guards against resets of the flows of a healthy agent: a balancer suspects it and is paused
@@ -96,12 +96,12 @@
 
     fleet.halted = [observer].into();
     fleet.run_for(20_000);
-    fleet.gone.clear();
+    fleet.declared_dead.clear();
     fleet.halted.clear();
     fleet.run_for(10_000);
 
-    assert_eq!(fleet.gone, []);
-    assert!(fleet.agrees());
+    assert_eq!(fleet.declared_dead, []);
+    assert!(fleet.has_converged());
 }
 
 /// Guards against resets of all flows in a failure domain that is partitioned: its balancers
@@ -113,15 +113,15 @@
     fleet.run_for(8_000);
     let minority = [address(0), address(3), address(100), address(103)];
 
-    fleet.island = minority.into();
+    fleet.partitioned = minority.into();
     fleet.run_for(30_000);
-    fleet.island.clear();
+    fleet.partitioned.clear();
     fleet.run_for(15_000);
 
     let declared_dead_inside =
-        fleet.gone.iter().filter(|(observer, _)| minority.contains(observer));
+        fleet.declared_dead.iter().filter(|(observer, _)| minority.contains(observer));
     assert_eq!(declared_dead_inside.count(), 0);
-    assert!(fleet.agrees());
+    assert!(fleet.has_converged());
 }
 
 /// Guards against a healthy suspect that is declared dead without another probe: two dead suspects
@@ -175,7 +175,7 @@
     fleet.start(successor.clone());
     fleet.run_for(6_000);
 
-    assert!(fleet.agrees());
+    assert!(fleet.has_converged());
     for observer in fleet.peers.keys().filter(|peer| **peer != successor.address) {
         let view = fleet.peers[observer].membership();
         let known = view.living().find(|rumor| rumor.record.address == successor.address);
--- a/crates/nutmegkeel_core/tests/soak.rs
+++ b/crates/nutmegkeel_core/tests/soak.rs
@@ -12,7 +12,7 @@
     match soak::run(seed, FAULTS) {
         Ok(()) => true,
         Err(broken) => {
-            println!("seed {seed}: {}\n{:#?}", broken.promise, broken.record);
+            println!("seed {seed}: {}\n{:#?}", broken.invariant, broken.faults);
             false
         }
     }
--- a/crates/nutmegkeel_dev/src/compare/statistic.rs
+++ b/crates/nutmegkeel_dev/src/compare/statistic.rs
@@ -1,12 +1,12 @@
-//! Mean, spread, and how sure a mean is.
+//! Mean, range and confidence interval of a sample.
 
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use statrs::statistics::Statistics;
 
-/// Part of the cases in which the interval holds the true mean.
+/// Confidence level of the interval.
 const CONFIDENCE: f64 = 0.95;
 
-/// What a few figures say of their mean.
+/// Summary statistics of a sample.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Summary {
     /// Number of figures.
@@ -14,15 +14,15 @@
     /// Their mean.
     pub mean: f64,
     /// The smallest.
-    pub least: f64,
+    pub min: f64,
     /// The greatest.
-    pub most: f64,
+    pub max: f64,
     /// Half the width of the confidence interval of the mean; none for a single figure.
     pub margin: Option<f64>,
 }
 
 impl Summary {
-    /// A summary of these figures; none if there are none.
+    /// Returns the summary of these figures, or none if there are none.
     #[must_use]
     pub fn of(figures: &[f64]) -> Option<Self> {
         if figures.is_empty() {
@@ -31,14 +31,14 @@
         Some(Self {
             count: figures.len(),
             mean: figures.mean(),
-            least: figures.min(),
-            most: figures.max(),
+            min: figures.min(),
+            max: figures.max(),
             margin: margin(figures),
         })
     }
 }
 
-/// By Student's t, because the spread is known from the few figures only.
+/// Uses Student's t-distribution, since the variance is estimated from a small sample.
 #[expect(clippy::cast_precision_loss, reason = "there are a few hundred figures at most")]
 fn margin(figures: &[f64]) -> Option<f64> {
     let degrees = figures.len().checked_sub(1).filter(|degrees| *degrees > 0)?;
--- a/crates/nutmegkeel_dev/src/compare/table.rs
+++ b/crates/nutmegkeel_dev/src/compare/table.rs
@@ -1,4 +1,4 @@
-//! The table of a comparison, as a page of the documentation shows it.
+//! Result table of a comparison, in Markdown for the documentation.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -21,21 +21,21 @@
 /// All plays of a comparison.
 #[derive(Debug)]
 pub struct Table {
-    standing: String,
+    baseline: String,
     others: Vec<String>,
     plays: BTreeMap<(Day, String), Outcome>,
 }
 
 impl Table {
-    /// The table of these plays; the first way is the standing one.
+    /// Creates the table of these plays; the first way is the baseline.
     #[must_use]
     pub fn of(ways: &[Way], cells: Vec<Cell>) -> Self {
         let mut names = ways.iter().map(|way| way.name.clone());
         let plays = cells.into_iter().map(|cell| ((cell.day, cell.way), cell.outcome)).collect();
-        Self { standing: names.next().unwrap_or_default(), others: names.collect(), plays }
+        Self { baseline: names.next().unwrap_or_default(), others: names.collect(), plays }
     }
 
-    /// Whether every day was played and broke no rule.
+    /// Returns whether every day was played and broke no rule.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.plays.values().all(|outcome| match outcome {
@@ -51,11 +51,11 @@
         }
     }
 
-    /// The days, by deployment and name; a deployment's own row, which has all its days, comes last.
+    /// Returns the days by deployment and name. The row for all days of a deployment has no name.
     fn rows(&self) -> BTreeMap<(String, Option<String>), Vec<&Day>> {
         let mut rows: BTreeMap<_, Vec<&Day>> = BTreeMap::new();
         for (day, way) in self.plays.keys() {
-            if *way == self.standing {
+            if *way == self.baseline {
                 rows.entry((day.deployment(), Some(day.label()))).or_default().push(day);
                 rows.entry((day.deployment(), None)).or_default().push(day);
             }
@@ -63,13 +63,13 @@
         rows
     }
 
-    /// Worth of both ways on the days that both have played, and the difference.
+    /// Returns the worth of both ways on the days that both played, and the difference.
     fn compare(&self, days: &[&Day], other: &str) -> Option<[Summary; 3]> {
         let pairs: Vec<(f64, f64)> = days
             .iter()
             .filter_map(|day| {
-                let standing = self.report(day, &self.standing)?;
-                Some((standing.worth, self.report(day, other)?.worth))
+                let baseline = self.report(day, &self.baseline)?;
+                Some((baseline.worth, self.report(day, other)?.worth))
             })
             .collect();
         let column =
@@ -88,12 +88,12 @@
         writeln!(
             formatter,
             "| deployment | day | pairs | {} | way | worth | spread | difference | 95% | failed |",
-            self.standing
+            self.baseline
         )?;
         writeln!(formatter, "|---|---|---|---|---|---|---|---|---|---|")?;
         for ((deployment, day), days) in self.rows() {
             for other in &self.others {
-                let Some([standing, way, difference]) = self.compare(&days, other) else {
+                let Some([baseline, way, difference]) = self.compare(&days, other) else {
                     continue;
                 };
                 let margin = difference
@@ -104,12 +104,12 @@
                     "| {deployment} | {} | {} | {:.4} | {other} | {:.4} | {:.4} to {:.4} | {:+.4} | {margin} | {}, {} |",
                     day.as_deref().unwrap_or("all"),
                     difference.count,
-                    standing.mean,
+                    baseline.mean,
                     way.mean,
-                    way.least,
-                    way.most,
+                    way.min,
+                    way.max,
                     difference.mean,
-                    self.failed(&days, &self.standing),
+                    self.failed(&days, &self.baseline),
                     self.failed(&days, other),
                 )?;
             }
--- a/crates/nutmegkeel_dev/src/measure/capacity.rs
+++ b/crates/nutmegkeel_dev/src/measure/capacity.rs
@@ -1,4 +1,5 @@
-//! Slopes for docs/CAPACITY.md: what one process spends against the number of what it knows.
+//! Memory and processor time of one process by the number of members, agents and classes that it
+//! knows, for docs/CAPACITY.md.
 
 use std::hint::black_box;
 use std::io;
@@ -15,30 +16,30 @@
 use nutmegkeel_fake::fleet::{agent, balancer};
 use serde_json::{Map, Value, json};
 
-/// Members known to one process.
+/// Numbers of members known to one process.
 const MEMBERS: [u32; 4] = [2_000, 10_000, 50_000, 200_000];
-/// Agents of one class.
+/// Numbers of agents of one class.
 const AGENTS: [u32; 4] = [10, 100, 1_000, 10_000];
-/// Classes, one address each.
+/// Numbers of classes, with one address each.
 const CLASSES: [u32; 4] = [1_000, 8_000, 30_000, 71_000];
-/// Ticks over which the cost of watching is taken.
+/// Number of ticks over which the time of one is averaged.
 const TICKS: u64 = 200;
-/// Placements over which the cost of one is taken.
+/// Number of placements over which the time of one is averaged.
 const PLACEMENTS: u64 = 2_000;
 
-/// One point of a slope, measured in a process of its own so that its memory starts empty.
+/// One data point, measured in a process of its own so that earlier points do not use its memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Point {
-    /// So many members known to one process.
+    /// This number of members known to one process.
     Members(u32),
-    /// So many agents in one class.
+    /// This number of agents in one class.
     Agents(u32),
-    /// So many classes.
+    /// This number of classes.
     Classes(u32),
 }
 
 impl Point {
-    /// The point called `name`, such as `members`.
+    /// Returns the point called `name`, such as `members`.
     #[must_use]
     pub fn of(name: &str, count: u32) -> Option<Self> {
         match name {
@@ -50,7 +51,7 @@
     }
 }
 
-/// Runs the measurement; it has no aim of its own.
+/// Runs the measurement, which has no aim and always passes.
 ///
 /// # Errors
 /// When a point's process cannot be started.
@@ -58,7 +59,7 @@
     let mut line = Map::new();
     for (name, counts) in [("members", MEMBERS), ("agents", AGENTS), ("classes", CLASSES)] {
         for count in counts {
-            let figures = in_own_process(name, count)?;
+            let figures = measure_in_subprocess(name, count)?;
             println!("{name:<8} {count:>8} {figures}");
             line.insert(format!("{name}_{count}"), figures);
         }
@@ -67,7 +68,7 @@
     Ok(true)
 }
 
-fn in_own_process(name: &str, count: u32) -> io::Result<Value> {
+fn measure_in_subprocess(name: &str, count: u32) -> io::Result<Value> {
     let output = Command::new(std::env::current_exe()?)
         .args(["measure", "capacity-point", name, &count.to_string()])
         .output()?;
@@ -77,15 +78,15 @@
 /// Measures one point and prints its figures as JSON.
 pub(super) fn run_point(point: Point) -> bool {
     let figures = match point {
-        Point::Members(count) => of_members(count),
-        Point::Agents(count) => of_agents(count),
-        Point::Classes(count) => of_classes(count),
+        Point::Members(count) => measure_members(count),
+        Point::Agents(count) => measure_agents(count),
+        Point::Classes(count) => measure_classes(count),
     };
     println!("{figures}");
     true
 }
 
-fn of_members(members: u32) -> Value {
+fn measure_members(members: u32) -> Value {
     let before = resident_bytes();
     let mut membership = Membership::open(balancer(0), Timing::default(), 1);
     let began = Instant::now();
@@ -111,7 +112,7 @@
     Rumor { record, health: Health::Alive }
 }
 
-fn of_agents(agents: u32) -> Value {
+fn measure_agents(agents: u32) -> Value {
     let before = resident_bytes();
     let mut pool = Pool::default();
     for number in 0..agents {
@@ -127,7 +128,7 @@
     json!({"place_us": place_us, "bytes_each": bytes})
 }
 
-fn of_classes(classes: u32) -> Value {
+fn measure_classes(classes: u32) -> Value {
     let before = resident_bytes();
     let mut peer = Peer::open(balancer(0), Timing::default(), 1);
     let began = Instant::now();
@@ -149,7 +150,7 @@
     began.elapsed().as_secs_f64() * 1_000_000.0 / count as f64
 }
 
-/// Memory of this process in use, in bytes, as the kernel counts it.
+/// Returns the resident memory of this process as the kernel reports it, in bytes.
 fn resident_bytes() -> u64 {
     const PAGE: u64 = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/nutmegkeel_dev/src/measure/configuration.rs
+++ b/crates/nutmegkeel_dev/src/measure/configuration.rs
@@ -1,4 +1,4 @@
-//! Time until an accepted change is in force on all of 200 balancers, the platform being down.
+//! Time until an accepted change is in force on all of 200 balancers while the platform is down.
 
 use nutmegkeel_core::class::Target;
 use nutmegkeel_core::configuration::{Entry, Revision};
@@ -6,22 +6,22 @@
 use serde_json::{Map, json};
 
 const BALANCERS: u16 = 200;
-const FORM_MS: u64 = 15_000;
-const LONGEST_MS: u64 = 30_000;
-/// Changes measured at each loss.
+const FORMATION_MS: u64 = 15_000;
+const TIMEOUT_MS: u64 = 30_000;
+/// Number of changes measured at each rate of message loss.
 const CHANGES: u64 = 10;
-/// The aims: without loss, and with a tenth of all messages lost, in milliseconds.
+/// Rates of message loss in percent, each with the aim for the slowest change in milliseconds.
 const AIMS: [(u32, u64); 2] = [(0, 3_000), (10, 12_000)];
 const SEED: u64 = 1;
 
-/// Runs the measurement; true when the aims were met.
+/// Runs the measurement; returns true when the aims were met.
 pub(super) fn run() -> bool {
     println!("{:>6} {:>12} {:>12} {:>8}", "loss", "median ms", "slowest ms", "aim ms");
     let mut line = Map::new();
     let mut met = true;
     for (loss, aim) in AIMS {
         let mut fleet = Fleet::open((0..BALANCERS).map(balancer).collect(), SEED);
-        fleet.run_for(FORM_MS);
+        fleet.run_for(FORMATION_MS);
         fleet.loss_percent = loss;
         let mut times: Vec<u64> =
             (1..=CHANGES).map(|revision| time_of_change(&mut fleet, revision)).collect();
@@ -47,7 +47,7 @@
     let done = |fleet: &Fleet| {
         fleet.peers.values().all(|peer| peer.configuration().revision() >= Revision(revision))
     };
-    while !done(fleet) && fleet.now.since(began) < LONGEST_MS {
+    while !done(fleet) && fleet.now.since(began) < TIMEOUT_MS {
         fleet.run_for(TICK_MS);
     }
     fleet.now.since(began)
--- a/crates/nutmegkeel_dev/src/measure/path.rs
+++ b/crates/nutmegkeel_dev/src/measure/path.rs
@@ -1,4 +1,4 @@
-//! What the system adds to one call, and what it spends on it.
+//! Latency of calls through the system, and its control traffic.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,21 +7,21 @@
 use serde_json::json;
 
 use crate::caller::Caller;
-use crate::demo::bench::Bench;
 use crate::demo::calls;
+use crate::demo::deployment::Deployment;
 
-/// Status checks on each flow.
+/// Number of status checks on each flow.
 const CHECKS: u64 = 3;
-/// Time for warming to pass.
+/// Time for the warm-up of new agents to end.
 const SETTLE: Duration = Duration::from_secs(3);
-/// Reasons for a drop that say that a caller's packet was not understood.
+/// Drop reasons that mean that a balancer did not recognize a caller's packet.
 const NOT_UNDERSTOOD: [&str; 3] = ["not_quic", "frame_header", "frame_mac"];
 
-/// Times of one kind of step.
+/// Latencies of one kind of step.
 #[derive(Default)]
-struct Times(Vec<Duration>);
+struct Latencies(Vec<Duration>);
 
-impl Times {
+impl Latencies {
     fn millis(&mut self, percent: usize) -> f64 {
         self.0.sort_unstable();
         let last = self.0.len().saturating_sub(1);
@@ -30,26 +30,27 @@
     }
 }
 
-/// Opens `flows` flows one after the other, with status checks and a filing on each.
+/// Opens `flows` flows one after another, with status checks and a filing on each.
 ///
 /// # Errors
 /// When the system does not come up or a call fails.
 pub fn run(flows: u64) -> io::Result<bool> {
-    let bench = Bench::open()?;
+    let deployment = Deployment::open()?;
     let runtime = tokio::runtime::Runtime::new()?;
     let (mut opens, mut checks, mut filings) =
-        (Times::default(), Times::default(), Times::default());
+        (Latencies::default(), Latencies::default(), Latencies::default());
     let began = Instant::now();
-    let work = call(&bench, flows, &mut opens, &mut checks, &mut filings);
+    let work = call(&deployment, flows, &mut opens, &mut checks, &mut filings);
     runtime.block_on(work)?;
-    let counters = bench.counters();
+    let counters = deployment.counters();
     let not_understood: f64 = NOT_UNDERSTOOD
         .iter()
         .filter_map(|reason| {
             counters.get(&format!("nutmegkeel_dropped_total{{reason=\"{reason}\"}}"))
         })
         .sum();
-    let control = control_bytes_per_second(&counters, began.elapsed(), bench.product_processes());
+    let control =
+        control_bytes_per_second(&counters, began.elapsed(), deployment.product_processes());
 
     println!("{:<14} {:>8} {:>8} {:>8}", "step", "p50 ms", "p99 ms", "max ms");
     let mut line = serde_json::Map::new();
@@ -76,17 +77,17 @@
 }
 
 async fn call(
-    bench: &Bench,
+    deployment: &Deployment,
     flows: u64,
-    opens: &mut Times,
-    checks: &mut Times,
-    filings: &mut Times,
+    opens: &mut Latencies,
+    checks: &mut Latencies,
+    filings: &mut Latencies,
 ) -> io::Result<()> {
-    let classes = bench.classes();
-    calls::wait_until_served(bench.certificate(), &classes).await?;
+    let classes = deployment.classes();
+    calls::wait_until_served(deployment.certificate(), &classes).await?;
     tokio::time::sleep(SETTLE).await;
     let class = &classes[0];
-    let caller = Caller::open(bench.certificate())?;
+    let caller = Caller::open(deployment.certificate())?;
     for number in 0..flows {
         let began = Instant::now();
         let mut flow = caller.flow(class.address).await.map_err(io::Error::other)?;
--- a/crates/nutmegkeel_dev/src/measure/retries.rs
+++ b/crates/nutmegkeel_dev/src/measure/retries.rs
@@ -1,4 +1,4 @@
-//! Keyed requests sent again and again, by several agents, over a platform that loses answers.
+//! Duplicate runs of keyed requests that several agents retry over a platform that loses answers.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use nutmegkeel_core::member::Instance;
 use nutmegkeel_core::placement::Hop;
 use nutmegkeel_fake::fleet::address;
-use nutmegkeel_fake::store::{Fate, Memory};
+use nutmegkeel_fake::store::{CallOutcome, Memory};
 use nutmegkeel_store::claims::Writer;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -16,7 +16,7 @@
 
 const AGENTS: usize = 7;
 const KEYS: u64 = 2_000;
-/// Each key is sent so often, by different flows and agents.
+/// Number of times that each key is sent, on different flows and to different agents.
 const SENDS: u64 = 4;
 const DEADLINE: Time = Time::from_millis(10_000);
 const SEED: u64 = 1;
@@ -28,7 +28,7 @@
     may_have_run: u64,
 }
 
-/// Runs the measurement; true when no key ran twice.
+/// Runs the measurement; returns true when no key ran twice with claims.
 pub(super) fn run() -> bool {
     println!(
         "{:<22} {:>6} {:>10} {:>9} {:>9} {:>14} {:>9}",
@@ -63,7 +63,7 @@
     met
 }
 
-/// Sends every key several times, in an order drawn from the seed, in groups of up to 20.
+/// Sends every key several times in an order based on the seed, in groups of up to 20.
 fn send_all(store: &Memory, claims: bool, faults: bool) -> Counts {
     let mut rng = SmallRng::seed_from_u64(SEED);
     let mut counts = Counts::default();
@@ -76,7 +76,11 @@
         let group = &sends[next..next + size];
         if claims {
             if faults {
-                store.set_fates(vec![fate(&mut rng), fate(&mut rng), fate(&mut rng)]);
+                store.set_outcomes(vec![
+                    random_outcome(&mut rng),
+                    random_outcome(&mut rng),
+                    random_outcome(&mut rng),
+                ]);
             }
             let agent = rng.random_range(0..AGENTS);
             send_group(store, &mut writers[agent], agent, next, group, &mut counts);
@@ -90,12 +94,12 @@
     counts
 }
 
-fn fate(rng: &mut SmallRng) -> Fate {
+fn random_outcome(rng: &mut SmallRng) -> CallOutcome {
     match rng.random_range(0..10) {
-        0 => Fate::NotSent,
-        1 => Fate::AnswerLost,
-        2 => Fate::CallLost,
-        _ => Fate::Answered,
+        0 => CallOutcome::NotSent,
+        1 => CallOutcome::AnswerLost,
+        2 => CallOutcome::CallLost,
+        _ => CallOutcome::Answered,
     }
 }
 
--- a/crates/nutmegkeel_dev/src/measure/silence.rs
+++ b/crates/nutmegkeel_dev/src/measure/silence.rs
@@ -1,4 +1,4 @@
-//! How long callers of a killed agent hear nothing before they know.
+//! Time until callers of a killed agent detect that their flows have ended.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -6,39 +6,39 @@
 use serde_json::{Map, json};
 
 use crate::caller::{Caller, Flow};
-use crate::demo::bench::Bench;
 use crate::demo::calls;
+use crate::demo::deployment::Deployment;
 
-/// Time for the fleet to find itself.
+/// Time for all processes to discover each other.
 const SETTLE: Duration = Duration::from_secs(4);
-/// Flows opened, so that each server of the class holds some.
+/// Number of flows opened, enough for each server of the class to hold some.
 const FLOWS: usize = 30;
-/// The aim for callers who send: suspicion, an own probe, and a reset.
+/// Aim for callers that send: the time for suspicion, a probe by the balancer, and a reset.
 const ACTIVE_AIM: Duration = Duration::from_secs(5);
-/// The aim for callers who only listen: the idle timeout that agents ask for.
+/// Aim for callers that only receive: the idle timeout that agents request.
 const PASSIVE_AIM: Duration = Duration::from_secs(11);
-/// Pause between two tries of a caller who sends.
+/// Interval between two requests of a caller that sends.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// Runs the measurement; true when the aims were met.
+/// Runs the measurement; returns true when the aims were met.
 ///
 /// # Errors
 /// When the system does not come up.
 pub(super) fn run() -> io::Result<bool> {
-    let mut bench = Bench::open()?;
+    let mut deployment = Deployment::open()?;
     let runtime = tokio::runtime::Runtime::new()?;
-    let classes = bench.classes();
+    let classes = deployment.classes();
     let class = &classes[0];
     let caller = runtime.block_on(async {
-        calls::wait_until_served(bench.certificate(), &classes).await?;
+        calls::wait_until_served(deployment.certificate(), &classes).await?;
         tokio::time::sleep(SETTLE).await;
-        Caller::open(bench.certificate())
+        Caller::open(deployment.certificate())
     })?;
     let (active, passive) = runtime.block_on(async {
         let active = open_flows(&caller, class).await?;
         Ok::<_, io::Error>((active, open_flows(&caller, class).await?))
     })?;
-    let killed = bench.kill_agent(&format!("{}-1", class.name))?;
+    let killed = deployment.kill_agent(&format!("{}-1", class.name))?;
     let began = Instant::now();
     println!("killed the agent of {killed}");
 
--- a/crates/nutmegkeel_dev/src/model.rs
+++ b/crates/nutmegkeel_dev/src/model.rs
@@ -1,11 +1,11 @@
-//! Checks the models of the core protocol with `spin`: each must hold, and each must show the bug
-//! when a guard is switched off.
+//! Checks the models of the core protocol with `spin`: each must hold, and must fail when any one
+//! of its guards is disabled.
 
 use std::io;
 use std::path::Path;
 use std::process::Command;
 
-/// One model and the guards that can be switched off in it.
+/// A model and its guards that can be disabled.
 struct Model {
     name: &'static str,
     source: &'static str,
@@ -25,7 +25,8 @@
     },
 ];
 
-/// Checks all models; true when every one holds with its guards and fails without each of them.
+/// Checks all models; returns true when each holds with its guards and fails without any one of
+/// them.
 ///
 /// # Errors
 /// When `spin` or the C compiler is missing.
@@ -36,11 +37,11 @@
     for model in &MODELS {
         std::fs::write(directory.join("model.pml"), model.source)?;
         let holds = check(&directory, None)?;
-        println!("{}: with all guards {}", model.name, word(holds));
+        println!("{}: with all guards {}", model.name, result_text(holds));
         as_expected &= holds;
         for guard in model.guards {
             let holds = check(&directory, Some(guard))?;
-            println!("{}: with {guard} {}", model.name, word(holds));
+            println!("{}: with {guard} {}", model.name, result_text(holds));
             as_expected &= !holds;
         }
     }
@@ -49,7 +50,7 @@
     Ok(as_expected)
 }
 
-const fn word(holds: bool) -> &'static str {
+const fn result_text(holds: bool) -> &'static str {
     if holds { "holds" } else { "fails" }
 }
 
@@ -57,18 +58,20 @@
     let define = without.map(|guard| format!("-D{guard}"));
     let mut generate = Command::new("spin");
     generate.args(&define).args(["-a", "model.pml"]);
-    finish(generate, directory)?;
+    run_command(generate, directory)?;
     let mut compile = Command::new("cc");
     compile.args(["-O1", "-DSAFETY", "-o", "pan", "pan.c"]);
-    finish(compile, directory)?;
-    let output = finish(Command::new(directory.join("pan")), directory)?;
+    run_command(compile, directory)?;
+    let output = run_command(Command::new(directory.join("pan")), directory)?;
     if !output.contains("State-vector") {
-        return Err(io::Error::other(format!("the model was not searched: {output}")));
+        return Err(io::Error::other(format!(
+            "the state space of the model was not searched: {output}"
+        )));
     }
     Ok(output.contains("errors: 0"))
 }
 
-fn finish(mut command: Command, directory: &Path) -> io::Result<String> {
+fn run_command(mut command: Command, directory: &Path) -> io::Result<String> {
     let name = command.get_program().to_string_lossy().into_owned();
     let ended = command.current_dir(directory).output().map_err(|error| {
         io::Error::other(format!("{name}: {error}; install it with `apt-get install spin gcc`"))
--- a/crates/nutmegkeel_dev/src/soak.rs
+++ b/crates/nutmegkeel_dev/src/soak.rs
@@ -1,4 +1,4 @@
-//! Random runs of the core, and of the real programs, for as long as one likes.
+//! Soak tests: random faults for the simulated core and for the real programs.
 
 pub mod processes;
 
@@ -6,80 +6,80 @@
 
 use nutmegkeel_fake::soak;
 
-/// Faults of one run.
-const FAULTS: usize = 60;
+/// Number of faults injected in one run.
+const FAULTS_PER_RUN: usize = 60;
 
-/// Runs one seed after the other for `minutes`; true when no promise was broken.
+/// Runs consecutive seeds for `minutes`; returns true when no invariant was violated.
 pub fn run(first_seed: u64, minutes: u64) -> bool {
     let began = Instant::now();
     let mut seed = first_seed;
     while began.elapsed() < Duration::from_secs(60 * minutes) {
-        if let Err(broken) = soak::run(seed, FAULTS) {
-            println!("seed {seed}: {}", broken.promise);
-            for (millis, fault) in broken.record {
+        if let Err(violation) = soak::run(seed, FAULTS_PER_RUN) {
+            println!("seed {seed}: {}", violation.invariant);
+            for (millis, fault) in violation.faults {
                 println!("{millis:>8} ms {fault:?}");
             }
             return false;
         }
         seed += 1;
     }
-    println!("{} runs of {FAULTS} faults each, no promise broken", seed - first_seed);
+    println!("{} runs of {FAULTS_PER_RUN} faults each, no invariant violated", seed - first_seed);
     true
 }
 
-/// Runs of the real programs that go on at once: each has ten processes.
-const AT_ONCE: u64 = 6;
+/// Number of concurrent runs of the real programs; each has ten processes.
+const CONCURRENT_RUNS: u64 = 6;
 
-/// Networks on loopback that runs take in turn: stand-ins keep their addresses until the end. Those below
-/// and above are the tests', which may run at the same time: a process of a run that finds its port of metrics
-/// taken ends at once.
-const NETS: std::ops::Range<u64> = 20..250;
+/// Loopback networks that runs use in turn, since stand-ins keep their addresses until the end.
+/// Networks outside this range belong to the tests, which may run at the same time: a process whose
+/// metrics port is taken exits at once.
+const NETWORKS: std::ops::Range<u64> = 20..250;
 
-/// Runs `count` seeds of the real programs; true when no promise was broken.
+/// Runs `count` seeds of the real programs; returns true when no invariant was violated.
 ///
 /// # Errors
-/// When the program is not where it is expected.
+/// When the path of the running program is unknown, or a run panics.
 pub fn run_processes(first_seed: u64, count: u64, seconds: u64) -> std::io::Result<bool> {
-    let program = processes::program_beside()?;
-    let mut good = true;
+    let program = processes::program_path()?;
+    let mut passed = true;
     let mut seed = first_seed;
     while seed < first_seed + count {
-        let until = (seed + AT_ONCE).min(first_seed + count);
+        let until = (seed + CONCURRENT_RUNS).min(first_seed + count);
         let runs: Vec<_> = (seed..until)
             .map(|seed| {
-                let net = net_of(seed);
+                let net = network_of(seed);
                 let options =
                     processes::Options { program: program.clone(), seed, seconds, net, load: true };
                 std::thread::spawn(move || processes::run(&options))
             })
             .collect();
         for run in runs {
-            let report = run.join().map_err(|_| std::io::Error::other("a run failed itself"))?;
-            good &= print(&report);
+            let report = run.join().map_err(|_| std::io::Error::other("a soak run panicked"))?;
+            passed &= print(&report);
         }
         seed = until;
     }
-    Ok(good)
+    Ok(passed)
 }
 
-fn net_of(seed: u64) -> u8 {
-    let place = NETS.start + seed % (NETS.end - NETS.start);
+fn network_of(seed: u64) -> u8 {
+    let place = NETWORKS.start + seed % (NETWORKS.end - NETWORKS.start);
     u8::try_from(place).unwrap_or(u8::MAX)
 }
 
 fn print(report: &processes::Report) -> bool {
     println!(
-        "seed {}: {} answered, {} not, {} faults, {} promises broken",
+        "seed {}: {} answered, {} unanswered, {} faults, {} invariant violations",
         report.seed,
         report.answered,
         report.unanswered,
         report.faults.len(),
-        report.broken.len()
+        report.violations.len()
     );
-    for broken in &report.broken {
-        println!("  broken: {broken}");
+    for violation in &report.violations {
+        println!("  violated: {violation}");
     }
-    if report.broken.is_empty() {
+    if report.violations.is_empty() {
         return true;
     }
     for fault in &report.faults {
--- a/crates/nutmegkeel_dev/src/soak/processes/caller.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/caller.rs
@@ -1,4 +1,4 @@
-//! One client of a run: a long flow and short ones by turns, or many short ones at once.
+//! Client of a soak run: alternates between a long flow and short ones, or opens many at once.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -8,53 +8,54 @@
 use nutmegkeel_standin::client::{Client, OpenFlow, Outcome};
 use nutmegkeel_standin::host::TIMEOUT_MS;
 
+use super::checker::{Checker, Observation};
 use super::load::Load;
-use super::truth::{Seen, Truth};
 
-/// Pause of a client between two rounds: four clients then send some hundred requests a second, and
-/// leave the processor to the processes under test.
-const BREATH: Duration = Duration::from_millis(10);
+/// Pause of a client between two rounds. Four clients then send a few hundred requests a second and
+/// leave processor time to the processes under test.
+const ROUND_PAUSE: Duration = Duration::from_millis(10);
 
 /// First port of a client.
 const FIRST_PORT: u16 = 30_000;
 
-/// The second request on a short flow is only begun: its flow is left with it on its way.
-const BEGUN: Duration = Duration::from_millis(50);
+/// Time limit for the second request on a short flow. The client then abandons the flow, often with
+/// the request in progress.
+const ABANDON_AFTER: Duration = Duration::from_millis(50);
 
-/// Time for an answer in a run without load of its own.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Time limit for an answer in a run without load faults.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for a final answer: the deadline of the route, and some for a busy host.
-const FINAL: Duration = Duration::from_millis(TIMEOUT_MS + 250);
+/// Time limit for a final answer: the deadline of the route plus a margin for a busy host.
+const FINAL_ANSWER_TIMEOUT: Duration = Duration::from_millis(TIMEOUT_MS + 250);
 
-/// Flows that a client of usual demand has at once in a burst: four of them fill the slots of three servers
+/// Concurrent flows of a usual client in a burst; four clients fill the slots of three servers
 /// twice.
 const BURST_FLOWS: u16 = 8;
 
-/// Flows that the heavy caller has at once, where others have two.
+/// Concurrent flows of the heavy caller, where other clients have two.
 const HEAVY_FLOWS: u16 = 24;
 
-/// How much a client asks for.
+/// Load that a client generates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Demand {
-    /// A flow at a time, with pauses, but for bursts.
+    /// One short flow at a time with pauses, except in bursts.
     Usual,
-    /// Many flows at once without a pause, while the run wants a heavy caller.
+    /// Many flows at once without a pause, while the heavy caller is active.
     Heavy,
 }
 
-/// A client at work.
+/// A running client.
 pub(super) struct Caller {
     client: Client,
     balancers: Vec<Ipv4Addr>,
-    truth: Arc<Truth>,
+    checker: Arc<Checker>,
     load: Arc<Load>,
     demand: Demand,
     next_port: u16,
 }
 
-/// A flow that a caller keeps.
-struct Long {
+/// A flow that a client keeps open.
+struct LongFlow {
     open: OpenFlow,
     port: u16,
     holder: String,
@@ -64,15 +65,15 @@
     pub(super) fn open(
         client: Client,
         balancers: Vec<Ipv4Addr>,
-        truth: Arc<Truth>,
+        checker: Arc<Checker>,
         load: Arc<Load>,
         demand: Demand,
     ) -> Self {
-        truth.expect(client.address());
-        Self { client, balancers, truth, load, demand, next_port: FIRST_PORT }
+        checker.expect_answer(client.address());
+        Self { client, balancers, checker, load, demand, next_port: FIRST_PORT }
     }
 
-    pub(super) fn call(mut self) {
+    pub(super) fn run(mut self) {
         let mut long = None;
         let mut turn = 0_usize;
         while !self.load.is_over() {
@@ -80,106 +81,116 @@
             self.balancers.rotate_left(1);
             let usual_port = 443 + u16::from(turn.is_multiple_of(3));
             match (self.demand, self.load.burst()) {
-                (Demand::Heavy, _) if !self.load.is_heavy() => thread::sleep(BREATH),
+                (Demand::Heavy, _) if !self.load.has_heavy_caller() => thread::sleep(ROUND_PAUSE),
                 (Demand::Heavy, burst) => {
-                    self.ask_at_once(HEAVY_FLOWS, burst.unwrap_or(usual_port));
+                    self.request_concurrently(HEAVY_FLOWS, burst.unwrap_or(usual_port));
                 }
-                (Demand::Usual, Some(port)) => self.ask_at_once(BURST_FLOWS, port),
+                (Demand::Usual, Some(port)) => self.request_concurrently(BURST_FLOWS, port),
                 (Demand::Usual, None) => {
-                    thread::sleep(BREATH);
+                    thread::sleep(ROUND_PAUSE);
                     long = self.round(usual_port, long);
                 }
             }
         }
     }
 
-    /// Opens a short flow and uses the long one; returns the long one if it is still good.
-    fn round(&mut self, port: u16, long: Option<Long>) -> Option<Long> {
-        let Some((mut open, holder)) = self.open_and_ask(port) else { return long };
-        let Some(mut kept) = long else { return Some(Long { open, port, holder }) };
-        self.client.request(&mut open, &self.balancers, BEGUN);
+    /// Opens a short flow and uses the long one; returns the long one if it is still usable.
+    fn round(&mut self, port: u16, long: Option<LongFlow>) -> Option<LongFlow> {
+        let Some((mut open, holder)) = self.open_and_request(port) else { return long };
+        let Some(mut kept) = long else { return Some(LongFlow { open, port, holder }) };
+        self.client.request(&mut open, &self.balancers, ABANDON_AFTER);
         if self.load.is_varied() {
             self.client.close(&open, self.balancers[0]);
         }
-        self.use_long(&mut kept).then_some(kept)
+        self.request_on_long_flow(&mut kept).then_some(kept)
     }
 
-    fn open_and_ask(&mut self, port: u16) -> Option<(OpenFlow, String)> {
-        let from_port = self.take_ports(1);
+    fn open_and_request(&mut self, port: u16) -> Option<(OpenFlow, String)> {
+        let from_port = self.allocate_ports(1);
         let sent = Instant::now();
         let opened = self.client.open(from_port, port, &self.balancers);
         let asked = opened.map(|mut open| {
-            (self.client.request(&mut open, &self.balancers, self.patience()), open)
+            (self.client.request(&mut open, &self.balancers, self.timeout()), open)
         });
         match asked {
             Ok((Outcome::Answered(id), open)) => {
-                self.truth.answered(self.client.address(), port, &id, sent);
+                self.checker.record_answer(self.client.address(), port, &id, sent);
                 Some((open, id))
             }
             Ok((outcome, _)) | Err(outcome) => {
-                self.lost(port, sent, &outcome);
+                self.record_unanswered(port, sent, &outcome);
                 None
             }
         }
     }
 
-    /// Opens so many flows at the same time and sends a request on each. A caller who got nothing pauses:
-    /// where no route is in force, refusals come at once, and asking on would only keep the processor busy.
-    fn ask_at_once(&mut self, flows: u16, port: u16) {
-        let first = self.take_ports(flows);
+    /// Opens `flows` flows at the same time and sends a request on each.
+    ///
+    /// Pauses if no request was answered: without a route in force refusals come at once, and an
+    /// immediate retry would only use processor time.
+    fn request_concurrently(&mut self, flows: u16, port: u16) {
+        let first = self.allocate_ports(flows);
         let sent = Instant::now();
         let ports = first..first + flows;
         let mut is_served = false;
-        for outcome in self.client.request_concurrently(ports, port, &self.balancers, FINAL) {
+        for outcome in self.client.request_concurrently(ports, port, &self.balancers, FINAL_ANSWER_TIMEOUT) {
             match outcome {
                 Outcome::Answered(id) => {
                     is_served = true;
-                    self.truth.answered(self.client.address(), port, &id, sent);
+                    self.checker.record_answer(self.client.address(), port, &id, sent);
                 }
-                lost => self.lost(port, sent, &lost),
+                lost => self.record_unanswered(port, sent, &lost),
             }
         }
         if !is_served {
-            thread::sleep(BREATH);
+            thread::sleep(ROUND_PAUSE);
         }
     }
 
-    /// Sends a request on the long flow; true if the flow is still good.
-    fn use_long(&self, long: &mut Long) -> bool {
+    /// Sends a request on the long flow; returns whether the flow is still usable.
+    fn request_on_long_flow(&self, long: &mut LongFlow) -> bool {
         let (port, holder) = (long.port, long.holder.as_str());
         let sent = Instant::now();
-        match self.client.request(&mut long.open, &self.balancers, self.patience()) {
+        match self.client.request(&mut long.open, &self.balancers, self.timeout()) {
             Outcome::Answered(id) => {
-                self.truth.judge(&Seen::Long { port, holder, answered_by: Some(&id) });
+                self.checker.check_long_flow(&Observation::LongFlow {
+                    port,
+                    holder,
+                    answered_by: Some(&id),
+                });
                 true
             }
             Outcome::Reset => {
-                self.truth.judge(&Seen::Long { port, holder, answered_by: None });
+                self.checker.check_long_flow(&Observation::LongFlow {
+                    port,
+                    holder,
+                    answered_by: None,
+                });
                 false
             }
             Outcome::Silence => {
-                self.lost(port, sent, &Outcome::Silence);
+                self.record_unanswered(port, sent, &Outcome::Silence);
                 true
             }
         }
     }
 
-    /// A request was not answered: it was refused, or nothing came.
-    fn lost(&self, port: u16, sent: Instant, outcome: &Outcome) {
+    /// Records a request that was refused or got no answer.
+    fn record_unanswered(&self, port: u16, sent: Instant, outcome: &Outcome) {
         if self.load.is_varied() && *outcome == Outcome::Silence {
-            self.truth.silent(port, sent);
+            self.checker.record_timeout(port, sent);
         } else {
-            self.truth.unanswered();
+            self.checker.record_unanswered();
         }
     }
 
-    fn patience(&self) -> Duration {
-        if self.load.is_varied() { FINAL } else { PATIENCE }
+    fn timeout(&self) -> Duration {
+        if self.load.is_varied() { FINAL_ANSWER_TIMEOUT } else { ANSWER_TIMEOUT }
     }
 
-    fn take_ports(&mut self, count: u16) -> u16 {
-        let is_left = self.next_port.checked_add(2 * count).is_some();
-        let first = if is_left { self.next_port } else { FIRST_PORT };
+    fn allocate_ports(&mut self, count: u16) -> u16 {
+        let are_left = self.next_port.checked_add(2 * count).is_some();
+        let first = if are_left { self.next_port } else { FIRST_PORT };
         self.next_port = first + count;
         first
     }
--- a/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
@@ -1,4 +1,4 @@
-//! The faults of one run.
+//! Fault injection of one soak run.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -12,57 +12,57 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
+use super::checker::{CONFIG_APPLY, Checker};
 use super::load::Load;
-use super::truth::{IN_FORCE, Truth};
-use super::{LAST, SETTLE};
+use super::{FINAL_CLIENT, READY_TIMEOUT};
 
 /// Ports of the two classes of requests.
 const PORTS: [u16; 2] = [443, 444];
 
-/// Kinds of faults, and the number of them that change load rather than processes.
+/// Number of fault kinds that do not change load, and of those that do.
 const FAULTS: i32 = 11;
 const LOAD_FAULTS: i32 = 4;
 
-/// Time that a slow server takes for an answer, in milliseconds, where the others answer at once: up to twice the
-/// objective. Its open flows must live on.
+/// Response time of a slow server, in milliseconds, where others respond at once. The range ends at
+/// twice the objective; open flows at the server must survive it.
 const SLOW_MS: std::ops::RangeInclusive<u64> = 50..=510;
 
-/// Time under load at the end, when no process is disturbed any more.
-const LOADED: Duration = Duration::from_secs(4);
+/// Duration of the final load phase, in which no process is disturbed.
+const LOAD_PHASE: Duration = Duration::from_secs(4);
 
-/// Time after the last fault within which everything must work again.
+/// Time after the last fault within which the system must recover.
 const RECOVERY: Duration = Duration::from_secs(6);
 
-/// Makes the faults.
+/// Injects the faults of a run.
 pub(super) struct Chaos {
     rng: StdRng,
     began: Instant,
     version: u64,
-    /// Processes that stand still.
-    stopped: Vec<Ipv4Addr>,
+    /// Hosts whose process is suspended.
+    frozen: Vec<Ipv4Addr>,
     faults: Vec<String>,
     fleet: Fleet,
-    truth: Arc<Truth>,
+    checker: Arc<Checker>,
     load: Arc<Load>,
 }
 
 impl Chaos {
-    /// The faults of a seed, once the fleet is ready.
-    pub(super) fn open(seed: u64, fleet: Fleet, truth: Arc<Truth>, load: Arc<Load>) -> Self {
-        if !fleet.is_ready_within(SETTLE) {
-            truth.break_promise("the fleet was not ready at the start".to_owned());
+    /// Creates the fault injector of a seed once the fleet is ready.
+    pub(super) fn open(seed: u64, fleet: Fleet, checker: Arc<Checker>, load: Arc<Load>) -> Self {
+        if !fleet.is_ready_within(READY_TIMEOUT) {
+            checker.record_violation("the fleet was not ready at the start".to_owned());
         }
         let chaos = Self {
             rng: StdRng::seed_from_u64(seed),
             began: Instant::now(),
             version: 1,
-            stopped: Vec::new(),
+            frozen: Vec::new(),
             faults: Vec::new(),
             fleet,
-            truth,
+            checker,
             load,
         };
-        chaos.fleet.agents().into_iter().for_each(|host| chaos.answer_as_usual(host));
+        chaos.fleet.agents().into_iter().for_each(|host| chaos.reset_server(host));
         chaos
     }
 
@@ -70,7 +70,7 @@
         &self.fleet
     }
 
-    pub(super) fn fault(&mut self) {
+    pub(super) fn inject(&mut self) {
         let pause = self.rng.random_range(50..900);
         thread::sleep(Duration::from_millis(pause));
         let kinds = FAULTS + if self.load.is_varied() { LOAD_FAULTS } else { 0 };
@@ -80,20 +80,20 @@
             2 => self.restart_agent(Signal::Kill),
             3 => self.restart_agent(Signal::Term),
             4 => self.freeze(),
-            5 => self.wake(),
-            6 => self.store_mood(),
-            7 => self.harm_connections(),
-            8 => self.change(),
+            5 => self.resume_all(),
+            6 => self.disturb_store(),
+            7 => self.disturb_connections(),
+            8 => self.change_routes(),
             9 => self.replace_server(),
             10 => self.reload(),
-            11 => self.burst(),
-            12 => self.change_heavy(),
-            13 => self.slow_down(),
-            _ => self.speed_up(),
+            11 => self.toggle_burst(),
+            12 => self.toggle_heavy_caller(),
+            13 => self.slow_server(),
+            _ => self.reset_servers(),
         }
     }
 
-    fn note(&mut self, fault: String) {
+    fn record(&mut self, fault: String) {
         self.faults.push(format!("{:.1} s: {fault}", self.began.elapsed().as_secs_f64()));
     }
 
@@ -103,31 +103,32 @@
 
     fn restart_balancer(&mut self, signal: Signal) {
         let host = self.pick(&self.fleet.balancers());
-        self.note(format!("{signal:?} and start of balancer {host}"));
+        self.record(format!("{signal:?} and start of balancer {host}"));
         self.restart(host, signal);
     }
 
     fn restart_agent(&mut self, signal: Signal) {
         let host = self.pick(&self.fleet.agents());
-        self.note(format!("{signal:?} and start of agent {host}"));
+        self.record(format!("{signal:?} and start of agent {host}"));
         self.restart(host, signal);
     }
 
-    /// A planned stop disturbs nobody; everything else does.
+    /// Restarts the process of a host. Records a disturbance unless it is a graceful stop of a
+    /// process that was not suspended.
     fn restart(&mut self, host: Ipv4Addr, signal: Signal) {
-        let stood = self.stopped.contains(&host);
-        if signal == Signal::Kill || stood {
-            self.truth.disturb(host);
+        let was_frozen = self.frozen.contains(&host);
+        if signal == Signal::Kill || was_frozen {
+            self.checker.record_disturbance(host);
         }
-        if stood {
+        if was_frozen {
             self.fleet.signal(host, Signal::Continue);
-            self.stopped.retain(|other| *other != host);
+            self.frozen.retain(|other| *other != host);
         }
         self.fleet.signal(host, signal);
         if !self.fleet.exits_within(host, Duration::from_secs(8)) {
-            self.truth.break_promise(format!("{host} did not end within its grace"));
+            self.checker.record_violation(format!("{host} did not exit within its grace period"));
             self.fleet.signal(host, Signal::Kill);
-            self.fleet.exits_within(host, SETTLE);
+            self.fleet.exits_within(host, READY_TIMEOUT);
         }
         self.fleet.start(host);
     }
@@ -135,42 +136,49 @@
     fn freeze(&mut self) {
         let hosts = [self.fleet.balancers(), self.fleet.agents()].concat();
         let host = self.pick(&hosts);
-        self.note(format!("{host} stands still"));
-        self.truth.disturb(host);
+        self.record(format!("{host} is suspended"));
+        self.checker.record_disturbance(host);
         self.fleet.signal(host, Signal::Stop);
-        self.stopped.push(host);
+        self.frozen.push(host);
     }
 
-    fn wake(&mut self) {
-        for host in std::mem::take(&mut self.stopped) {
-            self.note(format!("{host} goes on"));
-            self.truth.disturb(host);
+    fn resume_all(&mut self) {
+        for host in std::mem::take(&mut self.frozen) {
+            self.record(format!("{host} resumes"));
+            self.checker.record_disturbance(host);
             self.fleet.signal(host, Signal::Continue);
         }
     }
 
-    fn store_mood(&mut self) {
+    fn disturb_store(&mut self) {
         let moods = [Mode::Well, Mode::Down, Mode::LosesAnswers, Mode::Slow(300), Mode::Well];
         let mood = moods[self.rng.random_range(0..moods.len())];
-        self.note(format!("store: {mood:?}"));
+        self.record(format!("store: {mood:?}"));
         self.fleet.store.set_mode(mood);
-        self.truth.store_is_well(mood == Mode::Well);
+        self.checker.record_store_health(mood == Mode::Well);
         if self.rng.random_bool(0.3) {
             self.fleet.store.compact();
         }
     }
 
-    fn harm_connections(&mut self) {
-        use proxy::Mode as Way;
-        let ways = [Way::Pass, Way::Delay(200), Way::Reset, Way::Silent, Way::OneWay, Way::Pass];
-        let way = ways[self.rng.random_range(0..ways.len())];
-        self.note(format!("connections to the store: {way:?}"));
-        self.fleet.proxy.set_mode(way);
-        self.truth.store_is_well(way == Way::Pass);
+    fn disturb_connections(&mut self) {
+        use proxy::Mode as ProxyMode;
+        let modes = [
+            ProxyMode::Pass,
+            ProxyMode::Delay(200),
+            ProxyMode::Reset,
+            ProxyMode::Silent,
+            ProxyMode::OneWay,
+            ProxyMode::Pass,
+        ];
+        let mode = modes[self.rng.random_range(0..modes.len())];
+        self.record(format!("connections to the store: {mode:?}"));
+        self.fleet.proxy.set_mode(mode);
+        self.checker.record_store_health(mode == ProxyMode::Pass);
     }
 
-    /// Moves a route to another service, drops one, or brings all back.
-    fn change(&mut self) {
+    /// Swaps the services of the two routes, removes one route, or restores the initial routes.
+    fn change_routes(&mut self) {
         let routes = match self.rng.random_range(0..3) {
             0 => vec![(443, "vault"), (444, "desk")],
             1 => vec![(443, "desk")],
@@ -181,8 +189,8 @@
 
     fn configure(&mut self, routes: &[(u16, &'static str)]) {
         self.version += 1;
-        self.note(format!("configuration {}: {routes:?}", self.version));
-        self.truth.change(routes);
+        self.record(format!("configuration {}: {routes:?}", self.version));
+        self.checker.record_routes(routes);
         self.fleet.configure(self.version, routes);
     }
 
@@ -190,100 +198,100 @@
         let host = self.pick(&self.fleet.agents());
         let id = self.fleet.server(host).id().to_owned();
         if self.rng.random_bool(0.5) {
-            self.note(format!("{id} drains and is replaced"));
+            self.record(format!("{id} drains and is replaced"));
             self.fleet.server(host).drain();
-            self.truth.drain(&id, host);
+            self.checker.record_drain(&id, host);
             thread::sleep(Duration::from_millis(1_500));
         } else {
-            self.note(format!("{id} crashes and is replaced"));
+            self.record(format!("{id} crashes and is replaced"));
         }
-        self.truth.end(&id);
-        self.truth.disturb(host);
+        self.checker.record_end(&id);
+        self.checker.record_disturbance(host);
         self.fleet.start_server(host);
-        self.answer_as_usual(host);
+        self.reset_server(host);
     }
 
     fn reload(&mut self) {
         let hosts = [self.fleet.balancers(), self.fleet.agents()].concat();
         let host = self.pick(&hosts);
-        self.note(format!("{host} reads its settings"));
+        self.record(format!("{host} reloads its settings"));
         self.fleet.signal(host, Signal::Reload);
     }
 
-    /// Begins a burst of one class of requests, or ends the one there is.
-    fn burst(&mut self) {
+    /// Starts a burst of one class of requests, or ends the current one.
+    fn toggle_burst(&mut self) {
         let port = PORTS[self.rng.random_range(0..PORTS.len())];
         let burst = self.load.burst().is_none().then_some(port);
-        self.note(format!("burst: {burst:?}"));
+        self.record(format!("burst: {burst:?}"));
         self.load.set_burst(burst);
     }
 
-    fn change_heavy(&mut self) {
-        let heavy = !self.load.is_heavy();
-        self.note(format!("heavy caller: {heavy}"));
-        self.load.set_heavy(heavy);
+    fn toggle_heavy_caller(&mut self) {
+        let heavy = !self.load.has_heavy_caller();
+        self.record(format!("heavy caller: {heavy}"));
+        self.load.set_heavy_caller(heavy);
     }
 
-    /// Makes a server slow whose heartbeats go on as before.
-    fn slow_down(&mut self) {
+    /// Slows down the answers of a server without affecting its heartbeats.
+    fn slow_server(&mut self) {
         let host = self.pick(&self.fleet.agents());
         let answer_ms = self.rng.random_range(SLOW_MS);
-        self.note(format!("{} takes {answer_ms} ms", self.fleet.server(host).id()));
+        self.record(format!("{} responds after {answer_ms} ms", self.fleet.server(host).id()));
         self.fleet.server(host).set_answer_ms(answer_ms);
     }
 
-    fn speed_up(&mut self) {
-        self.note("no server is slow".to_owned());
+    fn reset_servers(&mut self) {
+        self.record("no server is slow".to_owned());
         for host in self.fleet.agents() {
-            self.answer_as_usual(host);
+            self.reset_server(host);
         }
     }
 
-    fn answer_as_usual(&self, host: Ipv4Addr) {
+    fn reset_server(&self, host: Ipv4Addr) {
         if self.load.is_varied() {
             self.fleet.server(host).set_answer_ms(0);
         }
     }
 
-    fn calm_load(&mut self) {
+    fn reset_load(&mut self) {
         self.load.set_burst(None);
-        self.load.set_heavy(false);
-        self.speed_up();
+        self.load.set_heavy_caller(false);
+        self.reset_servers();
     }
 
-    /// A time in which only load is at its worst: whoever is left without a final answer now was
-    /// forgotten, and not cut.
-    pub(super) fn press(&mut self) {
-        self.change_heavy();
-        self.burst();
-        self.slow_down();
-        thread::sleep(LOADED);
-        self.calm_load();
+    /// Applies all load faults while no process is disturbed: a request without a final answer was
+    /// then lost by the system and not by a fault.
+    pub(super) fn run_under_load(&mut self) {
+        self.toggle_heavy_caller();
+        self.toggle_burst();
+        self.slow_server();
+        thread::sleep(LOAD_PHASE);
+        self.reset_load();
     }
 
-    pub(super) fn heal(&mut self) {
-        self.wake();
+    pub(super) fn end_faults(&mut self) {
+        self.resume_all();
         if self.load.is_varied() {
-            self.calm_load();
+            self.reset_load();
         }
         self.fleet.store.set_mode(Mode::Well);
         self.fleet.proxy.set_mode(proxy::Mode::Pass);
-        self.truth.store_is_well(true);
+        self.checker.record_store_health(true);
         self.configure(&[(443, "vault"), (444, "desk")]);
-        thread::sleep(IN_FORCE);
-        // Guards against a change that is applied late because all watches wait on silent connections.
-        self.note("open connections to the store: silent".to_owned());
+        thread::sleep(CONFIG_APPLY);
+        // Guards against a late change: watches that wait on silent connections must not delay it.
+        self.record("open connections to the store: silent".to_owned());
         self.fleet.proxy.silence_open_connections();
         self.configure(&[(443, "desk"), (444, "vault")]);
-        self.note("all faults end".to_owned());
+        self.record("all faults end".to_owned());
         thread::sleep(RECOVERY);
     }
 
-    /// After the faults every request must be answered, by the right service, through any balancer,
-    /// and no process may have ended by itself. Returns the faults.
+    /// Checks that after the faults the right service answers every request through any balancer,
+    /// and that no process has exited by itself. Returns the faults.
     pub(super) fn check_recovery(mut self) -> Vec<String> {
-        let asker = self.fleet.client(LAST);
-        let client = Client::bind(asker, self.fleet.ports);
+        let client_address = self.fleet.client(FINAL_CLIENT);
+        let client = Client::bind(client_address, self.fleet.ports);
         let balancers = self.fleet.balancers();
         for (number, from_port) in (40_000..40_024).enumerate() {
             let through = [balancers[number % balancers.len()]];
@@ -295,16 +303,18 @@
                 |mut open| client.request(&mut open, &through, Duration::from_secs(2)),
             );
             match outcome {
-                Outcome::Answered(id) => self.truth.answered(asker, port, &id, sent),
-                other => self.truth.break_promise(format!(
-                    "after the faults a request to port {port} through {} came to {other:?}",
+                Outcome::Answered(id) => {
+                    self.checker.record_answer(client_address, port, &id, sent)
+                }
+                other => self.checker.record_violation(format!(
+                    "after the faults a request to port {port} through {} ended in {other:?}",
                     through[0]
                 )),
             }
         }
         for host in [balancers, self.fleet.agents()].concat() {
             if self.fleet.exits_within(host, Duration::ZERO) {
-                self.truth.break_promise(format!("the process of {host} ended by itself"));
+                self.checker.record_violation(format!("the process of {host} exited by itself"));
             }
         }
         self.faults
--- a/crates/nutmegkeel_fake/src/store.rs
+++ b/crates/nutmegkeel_fake/src/store.rs
@@ -1,4 +1,4 @@
-//! A key-value service in memory that can be down, lose answers, or let a rival write first.
+//! In-memory key-value service that can fail calls, lose answers or let another client write first.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,61 +9,61 @@
     Committed, Fault, Lease, Pair, Registry, Renewal, Snapshot, Store, Watched, Write,
 };
 
-/// How one call goes.
+/// Outcome of one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It is answered.
+pub enum CallOutcome {
+    /// The call succeeds.
     Answered,
-    /// It does not reach the service.
+    /// The call is not sent, and the client knows it.
     NotSent,
-    /// It reaches the service, and the answer is lost.
+    /// The call takes effect, but its answer is lost.
     AnswerLost,
-    /// It is lost on its way, and the client cannot tell.
+    /// The call is lost in transit; to the client this looks like a lost answer.
     CallLost,
-    /// A rival's value is written just before it.
-    AfterRival(String, Vec<u8>),
+    /// Another client writes this key and value just before the call.
+    AfterConcurrentWrite(String, Vec<u8>),
 }
 
 #[derive(Debug, Default)]
 struct State {
     pairs: BTreeMap<String, Pair>,
     revision: u64,
-    fates: Vec<Fate>,
+    outcomes: Vec<CallOutcome>,
     writes: u64,
     calls: u64,
     era: Era,
 }
 
-/// The fake. Calls meet the given fates in order, and all later ones are answered.
+/// In-memory key-value service. Calls have the given outcomes in order; all later ones succeed.
 #[derive(Debug, Default)]
 pub struct Memory {
     state: Mutex<State>,
 }
 
 impl Memory {
-    /// An empty service whose next calls meet these fates.
+    /// Creates an empty service whose next calls have these outcomes.
     #[must_use]
-    pub fn open(mut fates: Vec<Fate>) -> Self {
-        fates.reverse();
-        Self { state: Mutex::new(State { fates, ..State::default() }) }
+    pub fn open(mut outcomes: Vec<CallOutcome>) -> Self {
+        outcomes.reverse();
+        Self { state: Mutex::new(State { outcomes, ..State::default() }) }
     }
 
-    /// Writes that took effect.
+    /// Returns the number of writes that took effect.
     #[must_use]
     pub fn writes(&self) -> u64 {
         self.state().writes
     }
 
-    /// Calls so far, whatever became of them.
+    /// Returns the number of calls so far, including failed ones.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// Lets the next calls meet these fates.
-    pub fn set_fates(&self, mut fates: Vec<Fate>) {
-        fates.reverse();
-        self.state().fates = fates;
+    /// Sets the outcomes of the next calls.
+    pub fn set_outcomes(&self, mut outcomes: Vec<CallOutcome>) {
+        outcomes.reverse();
+        self.state().outcomes = outcomes;
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -73,16 +73,16 @@
     fn call<T>(&self, effect: impl FnOnce(&mut State) -> T) -> Result<T, Fault> {
         let mut state = self.state();
         state.calls += 1;
-        let fate = state.fates.pop().unwrap_or(Fate::Answered);
-        match fate {
-            Fate::Answered => Ok(effect(&mut state)),
-            Fate::NotSent => Err(Fault::NotSent("fake".to_owned())),
-            Fate::CallLost => Err(Fault::Lost("fake".to_owned())),
-            Fate::AnswerLost => {
+        let outcome = state.outcomes.pop().unwrap_or(CallOutcome::Answered);
+        match outcome {
+            CallOutcome::Answered => Ok(effect(&mut state)),
+            CallOutcome::NotSent => Err(Fault::NotSent("fake".to_owned())),
+            CallOutcome::CallLost => Err(Fault::Lost("fake".to_owned())),
+            CallOutcome::AnswerLost => {
                 effect(&mut state);
                 Err(Fault::Lost("fake".to_owned()))
             }
-            Fate::AfterRival(key, value) => {
+            CallOutcome::AfterConcurrentWrite(key, value) => {
                 state.put(key, value);
                 Ok(effect(&mut state))
             }
@@ -135,49 +135,49 @@
     }
 }
 
-/// The fake with leases, which can be made to end.
+/// In-memory key-value service with leases that tests can end.
 #[derive(Debug)]
 pub struct Leased {
     memory: Memory,
-    kept: Mutex<Renewal>,
+    renewal: Mutex<Renewal>,
     grants: Mutex<u64>,
 }
 
 impl Leased {
-    /// An empty service whose next calls meet these fates.
+    /// Creates an empty service whose next calls have these outcomes.
     #[must_use]
-    pub fn open(fates: Vec<Fate>) -> Self {
+    pub fn open(outcomes: Vec<CallOutcome>) -> Self {
         Self {
-            memory: Memory::open(fates),
-            kept: Mutex::new(Renewal::Renewed),
+            memory: Memory::open(outcomes),
+            renewal: Mutex::new(Renewal::Renewed),
             grants: Mutex::new(0),
         }
     }
 
-    /// Lets the next calls meet these fates.
-    pub fn set_fates(&self, fates: Vec<Fate>) {
-        self.memory.set_fates(fates);
+    /// Sets the outcomes of the next calls.
+    pub fn set_outcomes(&self, outcomes: Vec<CallOutcome>) {
+        self.memory.set_outcomes(outcomes);
     }
 
-    /// What renewals find from now on.
-    pub fn set_kept(&self, kept: Renewal) {
-        *lock(&self.kept) = kept;
+    /// Sets the result of all later lease renewals.
+    pub fn set_renewal(&self, renewal: Renewal) {
+        *lock(&self.renewal) = renewal;
     }
 
-    /// Writes that took effect.
+    /// Returns the number of writes that took effect.
     #[must_use]
     pub fn writes(&self) -> u64 {
         self.memory.writes()
     }
 
-    /// Calls so far, but for renewals.
+    /// Returns the number of calls so far, excluding lease renewals.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.memory.calls()
     }
 
-    /// Comes back from a copy that it made when only `keys` were written, each with its value: all else is gone, and
-    /// revisions are counted on from there.
+    /// Restores the service from a backup that holds only `keys`, each with its value. All other
+    /// keys are lost, a new era begins, and revisions start over.
     pub fn restore(&self, keys: &[(&str, &[u8])]) {
         let mut state = self.memory.state();
         state.era.0 += 1;
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Leases granted.
+    /// Returns the number of leases granted.
     #[must_use]
     pub fn grants(&self) -> u64 {
         *lock(&self.grants)
@@ -229,7 +229,7 @@
     }
 
     fn renew(&self, _lease: Lease) -> Result<Renewal, Fault> {
-        Ok(*lock(&self.kept))
+        Ok(*lock(&self.renewal))
     }
 
     fn era(&self) -> Era {
--- a/crates/nutmegkeel_store/tests/batch.rs
+++ b/crates/nutmegkeel_store/tests/batch.rs
@@ -1,7 +1,7 @@
 //! Keys of many owners, written in batches by a few processes.
 
 use nutmegkeel_core::clock::Time;
-use nutmegkeel_fake::store::{Fate, Leased};
+use nutmegkeel_fake::store::{CallOutcome, Leased};
 use nutmegkeel_store::batch::{Entry, Writer};
 use nutmegkeel_store::kv::{Renewal, Store};
 
@@ -70,7 +70,7 @@
     let store = Leased::open(Vec::new());
     let mut writer = writer();
     writer.write(&store, at(0), &[entry(1, 1), entry(2, 1)]).expect("the store answers");
-    store.set_fates(vec![Fate::AnswerLost]);
+    store.set_outcomes(vec![CallOutcome::AnswerLost]);
 
     let lost = writer.write(&store, at(1_000), &[entry(1, 2), entry(2, 2)]);
     let next = writer.write(&store, at(2_000), &[entry(1, 3), entry(2, 2)]);
@@ -86,7 +86,7 @@
     let store = Leased::open(Vec::new());
     let mut writer = writer();
     writer.write(&store, at(0), &[entry(1, 1), entry(2, 1)]).expect("the store answers");
-    store.set_fates(vec![Fate::AfterRival(entry(1, 2).key, vec![2])]);
+    store.set_outcomes(vec![CallOutcome::AfterConcurrentWrite(entry(1, 2).key, vec![2])]);
 
     let written = writer.write(&store, at(1_000), &[entry(1, 3), entry(2, 3)]);
 
@@ -96,7 +96,7 @@
 
 #[test]
 fn a_value_that_cannot_be_read_is_replaced() {
-    let store = Leased::open(vec![Fate::AfterRival(entry(1, 0).key, Vec::new())]);
+    let store = Leased::open(vec![CallOutcome::AfterConcurrentWrite(entry(1, 0).key, Vec::new())]);
 
     let written = writer().write(&store, at(0), &[entry(1, 1)]);
 
@@ -109,7 +109,7 @@
     let store = Leased::open(Vec::new());
     let mut writer = writer();
     writer.write(&store, at(0), &[entry(1, 1)]).expect("the store answers");
-    store.set_kept(Renewal::Ended);
+    store.set_renewal(Renewal::Ended);
 
     let written = writer.write(&store, at(50_000), &[entry(1, 2)]);
 
--- a/crates/nutmegkeel_store/tests/claims.rs
+++ b/crates/nutmegkeel_store/tests/claims.rs
@@ -6,7 +6,7 @@
 use nutmegkeel_core::member::Instance;
 use nutmegkeel_core::placement::Hop;
 use nutmegkeel_fake::fleet::address;
-use nutmegkeel_fake::store::{Fate, Memory};
+use nutmegkeel_fake::store::{CallOutcome, Memory};
 use nutmegkeel_store::claims::Writer;
 
 const DEADLINE: Time = Time::from_millis(5_000);
@@ -61,14 +61,14 @@
 /// answer to the write was lost. Reading the claim back must show that it is its own.
 #[test]
 fn a_lost_answer_is_resolved_by_reading_back() {
-    let store = Memory::open(vec![Fate::Answered, Fate::AnswerLost]);
+    let store = Memory::open(vec![CallOutcome::Answered, CallOutcome::AnswerLost]);
 
     assert_eq!(write(&store, &[claim(1, 1, "key")]), [Outcome::Ours]);
 }
 
 #[test]
 fn a_lost_call_is_repeated() {
-    let store = Memory::open(vec![Fate::Answered, Fate::CallLost]);
+    let store = Memory::open(vec![CallOutcome::Answered, CallOutcome::CallLost]);
 
     assert_eq!(write(&store, &[claim(1, 1, "key")]), [Outcome::Ours]);
     assert_eq!(store.writes(), 1);
@@ -78,7 +78,8 @@
 /// between the lost answer and the read. The request must be refused as not run.
 #[test]
 fn a_claim_in_doubt_does_not_run() {
-    let store = Memory::open(vec![Fate::Answered, Fate::AnswerLost, Fate::CallLost]);
+    let store =
+        Memory::open(vec![CallOutcome::Answered, CallOutcome::AnswerLost, CallOutcome::CallLost]);
     let claim = claim(1, 1, "key");
     let mut ledger = Ledger::default();
     ledger.request(claim, DEADLINE);
@@ -93,7 +94,7 @@
 
 #[test]
 fn a_platform_that_is_down_writes_nothing() {
-    let store = Memory::open(vec![Fate::NotSent]);
+    let store = Memory::open(vec![CallOutcome::NotSent]);
 
     assert_eq!(write(&store, &[claim(1, 1, "key")]), [Outcome::NotWritten]);
 }
--- a/crates/nutmegkeel_store/tests/registration.rs
+++ b/crates/nutmegkeel_store/tests/registration.rs
@@ -1,7 +1,7 @@
 //! Registration of a process in the store.
 
 use nutmegkeel_core::clock::Time;
-use nutmegkeel_fake::store::{Fate, Leased};
+use nutmegkeel_fake::store::{CallOutcome, Leased};
 use nutmegkeel_store::kv::{Renewal, Store};
 use nutmegkeel_store::registration::{RENEW_MS, Registration};
 
@@ -72,7 +72,7 @@
     let store = Leased::open(Vec::new());
     let mut entry = entry();
     entry.step(&store, at(0)).expect("the store answers");
-    store.set_kept(Renewal::Ended);
+    store.set_renewal(Renewal::Ended);
 
     entry.step(&store, at(RENEW_MS)).expect("the store answers");
 
@@ -96,7 +96,7 @@
 
 #[test]
 fn a_write_whose_answer_was_lost_is_tried_again() {
-    let store = Leased::open(vec![Fate::Answered, Fate::AnswerLost]);
+    let store = Leased::open(vec![CallOutcome::Answered, CallOutcome::AnswerLost]);
     let mut entry = entry();
 
     let lost = entry.step(&store, at(0));
