--- a/crates/nutmegkeel_dev/src/soak/processes/caller.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/caller.rs
@@ -18,8 +18,8 @@
 /// First port of a client.
 const FIRST_PORT: u16 = 30_000;
 
-/// Time limit for the second request on a short flow. The client then abandons the flow, often with
-/// the request in progress.
+/// Time limit for the second request on a short flow. The client then leaves the flow, even with the
+/// request still in progress.
 const ABANDON_AFTER: Duration = Duration::from_millis(50);
 
 /// Time limit for an answer in a run without load faults.
--- a/crates/nutmegkeel_dev/src/soak/processes/checker.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/checker.rs
@@ -184,8 +184,9 @@
         dropped || self.ended.contains_key(holder) || any_disturbed
     }
 
-    /// Returns whether no fault could have affected a request sent at `sent`: no process, server or
-    /// store was disturbed since [`SETTLING_TIME`] before it, and the route was in force.
+    /// Returns whether no fault could have affected a request to `port` sent at `sent`: from
+    /// [`SETTLING_TIME`] before it until now no process, server or store was disturbed, no route
+    /// changed, and the port had a route.
     fn was_undisturbed(&self, port: u16, sent: Instant) -> bool {
         let is_past = |at: &Instant| *at + SETTLING_TIME <= sent;
         let routed = self
