--- a/crates/nutmegkeel_dev/src/soak/processes/caller.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/caller.rs
@@ -133,7 +133,9 @@
         let sent = Instant::now();
         let ports = first..first + flows;
         let mut is_served = false;
-        for outcome in self.client.request_concurrently(ports, port, &self.balancers, FINAL_ANSWER_TIMEOUT) {
+        for outcome in
+            self.client.request_concurrently(ports, port, &self.balancers, FINAL_ANSWER_TIMEOUT)
+        {
             match outcome {
                 Outcome::Answered(id) => {
                     is_served = true;
