--- a/crates/nutmegkeel_core/src/l4/balancer/review.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer/review.rs
@@ -43,8 +43,8 @@
     /// Logs which failure domains begin or cease to be spared.
     fn rebalance(&mut self, now: Time) -> Vec<Action> {
         let levels = self.pool.rebalance(now);
-        let abroad = self.pool.sent_remote();
-        let log = |level| Action::Log(Decision::Spared { level, abroad });
+        let sent_remote = self.pool.sent_remote();
+        let log = |level| Action::Log(Decision::Spared { level, sent_remote });
         levels.into_iter().map(log).collect()
     }
 }
--- a/crates/nutmegkeel_core/src/l4/decision.rs
+++ b/crates/nutmegkeel_core/src/l4/decision.rs
@@ -117,7 +117,7 @@
         level: Level,
         /// Fraction of recent openings that went to a failure domain other than this balancer's, in
         /// thousandths.
-        abroad: Option<u64>,
+        sent_remote: Option<u64>,
     },
     /// Balancers became known or announced that they stop, since the last such record.
     Balancers {
--- a/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
+++ b/crates/nutmegkeel_dev/src/soak/processes/chaos.rs
@@ -151,11 +151,11 @@
     }
 
     fn disturb_store(&mut self) {
-        let moods = [Mode::Well, Mode::Down, Mode::LosesAnswers, Mode::Slow(300), Mode::Well];
-        let mood = moods[self.rng.random_range(0..moods.len())];
-        self.record(format!("store: {mood:?}"));
-        self.fleet.store.set_mode(mood);
-        self.checker.record_store_health(mood == Mode::Well);
+        let modes = [Mode::Well, Mode::Down, Mode::LosesAnswers, Mode::Slow(300), Mode::Well];
+        let mode = modes[self.rng.random_range(0..modes.len())];
+        self.record(format!("store: {mode:?}"));
+        self.fleet.store.set_mode(mode);
+        self.checker.record_store_health(mode == Mode::Well);
         if self.rng.random_bool(0.3) {
             self.fleet.store.compact();
         }
--- a/crates/nutmegkeel_node/src/l4/agent.rs
+++ b/crates/nutmegkeel_node/src/l4/agent.rs
@@ -89,7 +89,7 @@
         heartbeat_ms: settings.heartbeat_ms,
         checkpoints_per_s: settings.store_writes_per_s * CHECKPOINT_PERCENT / 100,
     };
-    let newest = LatestEra::default();
+    let latest_era = LatestEra::default();
     let (checkpoints, lists) = checkpoint::channel();
     let addresses = settings.endpoints()?;
     let shared = Arc::new(Shared {
@@ -109,10 +109,10 @@
     let restored = Arc::clone(&shared);
     let querying = Arc::clone(&shared);
     let store_answers = move || querying.core().reaches_store(querying.clock.now());
-    checkpoint::spawn(settings, &newest, clock, lists, store_answers, move |list| {
+    checkpoint::spawn(settings, &latest_era, clock, lists, store_answers, move |list| {
         restored.handle(Event::Recovered(list), &mut []);
     })?;
-    spawn_membership(&shared, settings, &newest)?;
+    spawn_membership(&shared, settings, &latest_era)?;
     let control = spawn_control(&shared, addresses.control)?;
     let metrics = spawn_metrics(settings.metrics, metrics)?;
     info!(event = "started", role = "agent", settings:? = settings, without:? = switched_off;
@@ -157,7 +157,7 @@
 fn spawn_membership(
     shared: &Arc<Shared>,
     settings: &Settings,
-    newest: &LatestEra,
+    latest_era: &LatestEra,
 ) -> Result<(), Fault> {
     let receiving = Arc::clone(shared);
     let listing = Arc::clone(shared);
@@ -167,7 +167,7 @@
         store_answered: Box::new(|_| ()),
         listed: Box::new(move |balancers| listing.handle(Event::Listed(balancers), &mut [])),
     };
-    membership::spawn(settings, newest, shared.clock, hooks)?;
+    membership::spawn(settings, latest_era, shared.clock, hooks)?;
     Ok(())
 }
 
--- a/crates/nutmegkeel_node/src/l4/balancer.rs
+++ b/crates/nutmegkeel_node/src/l4/balancer.rs
@@ -109,13 +109,13 @@
         kept: Mutex::new(Packets::open(PACKET_TTL_MS)),
         last_packet: Mutex::new(now),
     });
-    let newest = LatestEra::default();
+    let latest_era = LatestEra::default();
     let source = Source::default();
-    let fetcher = spawn_configuration(&shared, settings, &newest, &source)?;
+    let fetcher = spawn_configuration(&shared, settings, &latest_era, &source)?;
     spawn_readers(&shared, fetcher)?;
-    spawn_membership(&shared, settings, &newest)?;
+    spawn_membership(&shared, settings, &latest_era)?;
     let committed = Arc::clone(&shared);
-    collector::spawn(settings, &newest, clock, batches, move |written| {
+    collector::spawn(settings, &latest_era, clock, batches, move |written| {
         committed.handle(Event::Committed(written), &[]);
     })?;
     let readiness = spawn_readiness(&shared, settings.readiness)?;
@@ -171,10 +171,10 @@
 fn spawn_configuration(
     shared: &Arc<Shared>,
     settings: &Settings,
-    newest: &LatestEra,
+    latest_era: &LatestEra,
     source: &Source,
 ) -> Result<Fetcher, Fault> {
-    let store = Metered::open(settings, newest, Purpose::Configuration);
+    let store = Metered::open(settings, latest_era, Purpose::Configuration);
     let timeouts = Timeouts::for_apply_time(settings.apply_ms);
     let watch = Watch::open(store, source.clone(), shared.clock, timeouts);
     let watching = Arc::clone(shared);
@@ -214,7 +214,7 @@
 fn spawn_membership(
     shared: &Arc<Shared>,
     settings: &Settings,
-    newest: &LatestEra,
+    latest_era: &LatestEra,
 ) -> Result<(), Fault> {
     let receiving = Arc::clone(shared);
     let registering = Arc::clone(shared);
@@ -225,7 +225,7 @@
         store_answered: Box::new(store_answered(shared)),
         listed: Box::new(move |balancers| listing.handle(Event::Listed(balancers), &[])),
     };
-    membership::spawn(settings, newest, shared.clock, hooks)?;
+    membership::spawn(settings, latest_era, shared.clock, hooks)?;
     Ok(())
 }
 
--- a/crates/nutmegkeel_node/src/l4/checkpoint.rs
+++ b/crates/nutmegkeel_node/src/l4/checkpoint.rs
@@ -66,13 +66,13 @@
 /// When the thread cannot be started.
 pub(super) fn spawn(
     settings: &Settings,
-    newest: &LatestEra,
+    latest_era: &LatestEra,
     clock: Clock,
     lists: Receiver<Checkpoint>,
     store_answers: impl Fn() -> bool + Send + 'static,
     recovered: impl FnOnce(Option<Checkpoint>) + Send + 'static,
 ) -> io::Result<()> {
-    let store = Metered::open(settings, newest, Purpose::Flows);
+    let store = Metered::open(settings, latest_era, Purpose::Flows);
     let key = format!("{}{}", prefix(settings), settings.ip);
     // No list can exist when the whole system starts for the first time.
     let may_exist = !settings.first_start;
--- a/crates/nutmegkeel_node/src/l4/collector.rs
+++ b/crates/nutmegkeel_node/src/l4/collector.rs
@@ -43,20 +43,20 @@
 /// When the thread cannot be started.
 pub(super) fn spawn(
     settings: &Settings,
-    newest: &LatestEra,
+    latest_era: &LatestEra,
     clock: Clock,
     batches: Receiver<Batch>,
     committed: impl Fn(Vec<(Ipv4Addr, u64)>) + Send + 'static,
 ) -> io::Result<()> {
-    let store = Metered::open(settings, newest, Purpose::Flows);
+    let store = Metered::open(settings, latest_era, Purpose::Flows);
     let prefix = checkpoint::prefix(settings);
     thread::Builder::new().name("collector".to_owned()).spawn(move || {
         let mut reachability = Reachability::open(Purpose::Flows);
-        let mut group =
+        let mut writer =
             batch::Writer::open(prefix.clone(), |bytes| Some(wire::decode(bytes)?.number));
         while let Ok(batch) = batches.recv() {
             let entries: Vec<Entry> = batch.iter().map(|one| entry(&prefix, one)).collect();
-            let outcome = group.write(&store, clock.now(), &entries);
+            let outcome = writer.write(&store, clock.now(), &entries);
             let written = outcome.iter().flatten();
             let numbers =
                 written.filter_map(|(key, number)| Some((agent_of(&prefix, key)?, *number)));
--- a/crates/nutmegkeel_node/src/l4/configuration/watch.rs
+++ b/crates/nutmegkeel_node/src/l4/configuration/watch.rs
@@ -169,8 +169,8 @@
             self.after = None;
         }
         let Some(after) = self.after else {
-            let image = self.read_image()?;
-            return Ok(self.apply_image(image));
+            let snapshot = self.read_snapshot()?;
+            return Ok(self.apply_snapshot(snapshot));
         };
         match self.store.watch(configuration::PREFIX, after, self.timeouts())? {
             Watched::Until(until, changes) => {
@@ -187,23 +187,23 @@
     /// Reads all that the operator wrote. At the start a state that is some seconds old is
     /// sufficient: every balancer reads it then, and newer changes come with the watch or from
     /// other processes.
-    fn read_image(&mut self) -> Result<Snapshot, Fault> {
+    fn read_snapshot(&mut self) -> Result<Snapshot, Fault> {
         if self.has_read {
             return self.store.snapshot(configuration::PREFIX);
         }
-        let image = self.store.snapshot_recent(configuration::PREFIX)?;
+        let snapshot = self.store.snapshot_recent(configuration::PREFIX)?;
         self.has_read = true;
-        Ok(image)
+        Ok(snapshot)
     }
 
-    /// Applies a complete image.
-    fn apply_image(&mut self, image: Snapshot) -> Vec<Update> {
+    /// Applies a complete snapshot.
+    fn apply_snapshot(&mut self, snapshot: Snapshot) -> Vec<Update> {
         // While there is no configuration yet, a watch waits for it: each repeated read would cost
         // a call. An old list may come without a revision to continue from.
-        self.after = (image.as_of.number > 0).then_some(image.as_of);
+        self.after = (snapshot.as_of.number > 0).then_some(snapshot.as_of);
         let mut domains = BTreeSet::new();
         let mut tables = Vec::new();
-        for pair in image.pairs {
+        for pair in snapshot.pairs {
             match entry(&pair.key) {
                 Some(Entry::Evacuation(domain)) => {
                     domains.insert(domain);
@@ -214,8 +214,8 @@
                 None => {}
             }
         }
-        self.record_era(image.as_of.era);
-        self.follower.apply_snapshot(self.clock.now(), image.as_of, domains);
+        self.record_era(snapshot.as_of.era);
+        self.follower.apply_snapshot(self.clock.now(), snapshot.as_of, domains);
         self.updates(true, tables)
     }
 
--- a/crates/nutmegkeel_node/src/l4/decision_log.rs
+++ b/crates/nutmegkeel_node/src/l4/decision_log.rs
@@ -310,7 +310,7 @@
             warn!(event = "taken_back", domain = &*change.domain, revision:% = change.revision;
                 "failure domain accepts new flows again");
         }
-        Decision::Spared { level, abroad } => write_spared(level, *abroad),
+        Decision::Spared { level, sent_remote } => write_spared(level, *sent_remote),
         Decision::Balancers { changes, known } => {
             info!(event = "balancers", known = known, appeared = changes.appeared.len(),
                 left = changes.closed.len(), which = names_if_few(changes.all());
@@ -329,7 +329,7 @@
     }
 }
 
-fn write_spared(level: &Level, abroad: Option<u64>) {
+fn write_spared(level: &Level, sent_remote: Option<u64>) {
     let message = if level.is_spared {
         "failure domain has a higher utilization than others and gets fewer new flows"
     } else {
@@ -337,6 +337,6 @@
     };
     info!(event = "spared", domain = &*level.domain,
         service:% = metric::service_label(level.service.number()), spared = level.is_spared,
-        utilization:? = level.utilization, elsewhere:? = level.elsewhere, abroad:? = abroad;
+        utilization:? = level.utilization, elsewhere:? = level.elsewhere, abroad:? = sent_remote;
         "{message}");
 }
--- a/crates/nutmegkeel_node/src/l4/membership.rs
+++ b/crates/nutmegkeel_node/src/l4/membership.rs
@@ -80,12 +80,12 @@
 /// When the thread cannot be started.
 pub(super) fn spawn(
     settings: &Settings,
-    newest: &LatestEra,
+    latest_era: &LatestEra,
     clock: Clock,
     hooks: Hooks,
 ) -> io::Result<()> {
     let mut member = Member {
-        store: Metered::open(settings, newest, Purpose::Membership),
+        store: Metered::open(settings, latest_era, Purpose::Membership),
         prefix: prefix(settings),
         registration: registration(settings),
         hooks,
--- a/crates/nutmegkeel_node/src/l4/metered.rs
+++ b/crates/nutmegkeel_node/src/l4/metered.rs
@@ -42,8 +42,8 @@
 impl Metered {
     /// Creates a client of the store that the settings name. All clients of a process share the
     /// newest era that they received.
-    pub(super) fn open(settings: &Settings, newest: &LatestEra, purpose: Purpose) -> Self {
-        Self { purpose, client: Client::open(settings.store, newest.clone()) }
+    pub(super) fn open(settings: &Settings, latest_era: &LatestEra, purpose: Purpose) -> Self {
+        Self { purpose, client: Client::open(settings.store, latest_era.clone()) }
     }
 
     /// Counts entries that could not be read, and logs the reasons.
--- a/crates/nutmegkeel_store/tests/classes.rs
+++ b/crates/nutmegkeel_store/tests/classes.rs
@@ -120,29 +120,29 @@
 
 #[test]
 fn a_platform_that_becomes_unavailable_after_the_write_means_may_have_run() {
-    let mut fates = vec![CallOutcome::Answered, CallOutcome::AnswerLost];
-    fates.extend(vec![CallOutcome::NotSent; 100]);
-    let store = Memory::open(fates);
+    let mut outcomes = vec![CallOutcome::Answered, CallOutcome::AnswerLost];
+    outcomes.extend(vec![CallOutcome::NotSent; 100]);
+    let store = Memory::open(outcomes);
 
     assert_eq!(change(&store, request("a", 900, Some(0))), Action::MayHaveRun);
 }
 
-/// One step of one of two operators and the fate of its call.
+/// One step of one of two operators and the outcome of its call.
 #[derive(Clone, Debug)]
 struct Step {
     operator: usize,
-    fate: CallOutcome,
+    outcome: CallOutcome,
 }
 
 impl Arbitrary for Step {
     fn arbitrary(source: &mut Gen) -> Self {
-        let fate = match u8::arbitrary(source) % 6 {
+        let outcome = match u8::arbitrary(source) % 6 {
             0 => CallOutcome::NotSent,
             1 => CallOutcome::AnswerLost,
             2 => CallOutcome::CallLost,
             _ => CallOutcome::Answered,
         };
-        Self { operator: usize::from(bool::arbitrary(source)), fate }
+        Self { operator: usize::from(bool::arbitrary(source)), outcome }
     }
 }
 
@@ -160,7 +160,7 @@
         if is_final(action) {
             continue;
         }
-        store.set_outcomes(vec![step.fate]);
+        store.set_outcomes(vec![step.outcome]);
         let event = classes::carry_out(&store, "intake", action.clone(), |_| {});
         if let Some(event) = event {
             *action = change.handle(now, event);
