--- a/crates/nutmegkeel_core/src/l4/agent.rs
+++ b/crates/nutmegkeel_core/src/l4/agent.rs
@@ -83,9 +83,11 @@
     table: Table,
     probes: Probes,
     waiting: Queue,
-    /// Service that callers received recently, if they compete for room.
+    /// Recent demand of the callers and their shares of the server's work, used where callers
+    /// compete for room.
     shares: Shares,
     refused: Refused,
+    /// Service time of requests that found a free slot.
     pace: Estimate,
     /// Measures how long a slot works on a request.
     meter: Meter,
@@ -165,8 +167,8 @@
         let load = self.table.load();
         let saturate = |count: usize| u16::try_from(count).unwrap_or(u16::MAX);
         let waiting = saturate(self.waiting.len());
-        // After a restart most requests arrive on flows that this process does not know yet. Not
-        // counted, they fill the server while balancers consider it free.
+        // After a restart most requests arrive on flows that this process does not know yet. If
+        // they were not counted, balancers would consider a server free that is full of them.
         let unknown =
             if self.uses(Mechanism::DomainBalance) { self.probes.unanswered_requests() } else { 0 };
         let busy = load.busy.saturating_add(waiting).saturating_add(saturate(unknown));
@@ -270,18 +272,20 @@
         if self.refused.contains(now, head) {
             return reset(flow, head.ack, Cause::Overload).into();
         }
-        // A server that accepted a copy of the opening is never probed for the flow: if the
-        // sequence numbers of the two servers are close, it would accept the packet as its own.
+        // If another server holds the flow and this one accepted a copy of the opening, this one
+        // is never probed: if the sequence numbers of the two servers are close, it would accept
+        // the packet as its own.
         if self.table.is_elsewhere(head) || self.is_certain(now) || self.probes.denied(now, &flow) {
             return vec![self.decline(from, Reason::NotHeld)];
         }
         vec![Action::ToServer(self.probes.insert_query(now, flow, from, head.len > 0))]
     }
 
-    /// Reports whether the flow is here, or that only a packet of it can show this. The latter is
-    /// so if the backend server has to be probed, or if only an opening is here, which another
-    /// server may have accepted too. If the agent claimed such a flow, the balancer would reset the
-    /// flow when the agent dies. If it denied the flow, the balancer would not send it the packet.
+    /// Reports that the agent holds the flow, that it does not, or that only a packet of the flow
+    /// can show it. The last is the case if the backend server has to be probed, or if the agent
+    /// has seen only an opening, which another server may have accepted too. If the agent claimed
+    /// such a flow, the balancer would reset the flow when the agent dies. If it denied the flow,
+    /// the balancer would not send it the packet.
     fn locate(&self, now: Time, from: Ipv4Addr, flow: Flow) -> Vec<Action> {
         let load = self.load();
         if self.table.is_open(&flow) {
--- a/crates/nutmegkeel_core/src/l4/balancer.rs
+++ b/crates/nutmegkeel_core/src/l4/balancer.rs
@@ -91,7 +91,7 @@
     last_event: Time,
     reviewed_at: Time,
     gossip_turn: usize,
-    /// What each other balancer was last sent about the balancers.
+    /// Information about the balancers that was last sent to each other balancer.
     sent: BTreeMap<Ipv4Addr, Sent>,
     introductions: Introductions,
     /// Balancers and agents that changed since the last tick.
@@ -100,7 +100,7 @@
     /// Known balancers and agents, as last computed.
     snapshot: Option<Snapshot>,
     collector: Collector,
-    /// The last slot for summaries that was checked.
+    /// Number of the last time slot for summaries that was handled.
     summary_slot: u64,
     leaving: bool,
     /// Whether packets are kept until the next change.
@@ -262,8 +262,8 @@
     }
 
     /// Returns the services whose agents are asked first for a flow: those of its route. Without a
-    /// configuration, no service is preferred and all agents are asked. None if a configuration is
-    /// in force that has no route for the flow.
+    /// configuration, no service is preferred and all agents are asked. Returns `None` if a
+    /// configuration is in force that has no route for the flow.
     fn services(&self, flow: &Flow) -> Option<Vec<Service>> {
         if self.table.version == 0 {
             return Some(Vec::new());
--- a/crates/nutmegkeel_core/src/l4/cache.rs
+++ b/crates/nutmegkeel_core/src/l4/cache.rs
@@ -63,7 +63,7 @@
     pub declined: Vec<(Ipv4Addr, Reason)>,
     /// Acknowledgement number of the client's last packet, which a reset must carry.
     pub client_ack: u32,
-    /// Whether its client retries after a refusal; none until this was looked up.
+    /// Whether its client was refused before and now retries; `None` until this was looked up.
     pub is_retry: Option<bool>,
     /// Agents that were skipped without an answer. One of them may hold the flow.
     pub unanswered: Vec<Ipv4Addr>,
--- a/crates/nutmegkeel_core/src/l4/message.rs
+++ b/crates/nutmegkeel_core/src/l4/message.rs
@@ -97,7 +97,7 @@
     /// Openings per second that a backend server of the service can handle while it is cold; zero
     /// where no rate is configured.
     pub cold_per_s: u32,
-    /// Whether the client retries after a refusal for lack of room.
+    /// Whether the client was refused before for lack of room, and now retries.
     pub is_retry: bool,
 }
 
--- a/crates/nutmegkeel_core/src/l4/placement.rs
+++ b/crates/nutmegkeel_core/src/l4/placement.rs
@@ -1,8 +1,8 @@
 //! Selects the agent of a new flow, and the order in which agents are asked for an open flow.
 //!
-//! All balancers of a failure domain compute the same order for a flow. A packet that reaches
-//! another balancer than the flow's opening did therefore finds its agent among the first ones
-//! asked.
+//! All balancers of a failure domain compute the same order for a flow. A balancer that gets a
+//! packet of a flow whose opening went through another one therefore finds the flow's agent among
+//! the first that it asks.
 
 mod balance;
 mod candidate;
--- a/crates/nutmegkeel_core/src/l4/waiting.rs
+++ b/crates/nutmegkeel_core/src/l4/waiting.rs
@@ -8,8 +8,8 @@
 //!
 //! The opening itself does not wait. The server accepts it at once, and the agent holds the
 //! client's first request. A client abandons an opening after 1.4 s and sends a new one, which
-//! would be taken for the newest and delay the others. For an answer to a request it waits until
-//! its deadline.
+//! would be taken for the newest and delay the others. Once it has sent its request, a client waits
+//! for the answer until its deadline.
 
 mod contended;
 mod floor;
@@ -56,7 +56,7 @@
     pub opened: Time,
     /// Objective, deadline and urgency of its requests; both times count from `since`.
     pub demand: Demand,
-    /// Whether its client retries after a refusal for lack of room.
+    /// Whether its client was refused before for lack of room, and now retries.
     pub is_retry: bool,
     /// The request, once it has arrived.
     pub request: Option<Head>,
@@ -146,15 +146,15 @@
         self.flows.retain(|waiting| waiting.flow != *flow);
     }
 
-    /// Removes and returns the request that goes next, if nearly every answer takes at most
-    /// `answer_ms`.
+    /// Removes and returns the request that goes next. `answer_ms` is the time within which nearly
+    /// every request is answered.
     ///
     /// During a short overload, which every service at high load has at times, the oldest request
-    /// that still meets its objective with such an answer goes first. Newest first would make some
-    /// requests late without need. During a longer overload, the newest request goes first, because
-    /// first come, first served would answer every request just before its objective, or late. Next
-    /// comes the newest request whose objective has not ended, since most answers take less than
-    /// `answer_ms`.
+    /// goes first that meets its objective if it is answered within `answer_ms`. Newest first would
+    /// make some requests late without need. During a longer overload, the newest request goes
+    /// first, because first come, first served would answer every request just before its
+    /// objective, or late. Next comes the newest request whose objective has not ended, since most
+    /// answers take less than `answer_ms`.
     ///
     /// Requests that are late in any case go last, the oldest first. Guards against clients that
     /// wait until their deadline without an answer: a request that is sent again after its flow was
--- a/crates/nutmegkeel_core/tests/l4/balance.rs
+++ b/crates/nutmegkeel_core/tests/l4/balance.rs
@@ -348,7 +348,8 @@
         let balanced = Fleet::open(domains, true).simulate(20_000, &burst);
 
         println!(
-            "burst in one of {domains} domains: {unbalanced:?} without balance, {balanced:?} with"
+            "burst in one of {domains} domains, late: \
+             {unbalanced:?} without balance, {balanced:?} with"
         );
         assert!(balanced.late * 100 < balanced.requests * 3, "{balanced:?}");
         assert!(balanced.late < unbalanced.late, "{unbalanced:?} to {balanced:?}");
@@ -367,7 +368,8 @@
         let balanced = Fleet::open(domains, true).simulate(24_000, &moved);
 
         println!(
-            "callers moved, {domains} domains: {unbalanced:?} without balance, {balanced:?} with"
+            "callers moved, {domains} domains, late: \
+             {unbalanced:?} without balance, {balanced:?} with"
         );
         assert!(balanced.oscillations <= 1, "{balanced:?}");
         assert!(
@@ -389,7 +391,8 @@
         let balanced = Fleet::of_short_flows(domains, true).simulate(20_000, &more);
 
         println!(
-            "short flows, {domains} domains: {unbalanced:?} without balance, {balanced:?} with"
+            "short flows, {domains} domains, late: \
+             {unbalanced:?} without balance, {balanced:?} with"
         );
         assert!(balanced.oscillations <= 1, "{balanced:?}");
         assert!(
@@ -408,7 +411,7 @@
 
     let balanced = fleet.simulate(16_000, &Demand::even(4));
 
-    println!("failed domain: {balanced:?}");
+    println!("failed domain, late: {balanced:?}");
     assert!(balanced.oscillations <= 1, "{balanced:?}");
     assert!(fleet.surcharges_of(1).iter().all(|surcharge| *surcharge == NO_SURCHARGE));
 }
--- a/crates/nutmegkeel_node/src/l4/balancer.rs
+++ b/crates/nutmegkeel_node/src/l4/balancer.rs
@@ -47,7 +47,7 @@
 /// Part of the grace period that is reserved for stopping the process, in milliseconds.
 const GRACE_RESERVE_MS: u64 = 1_000;
 
-/// How long a packet is kept, in milliseconds. After this its client has sent it again.
+/// How long a packet is kept, in milliseconds. By then its client has retransmitted it.
 const PACKET_TTL_MS: u64 = 1_500;
 
 /// Path at which a balancer serves its status to operators, at the port for messages.
--- a/crates/nutmegkeel_node/src/l4/configuration/watch.rs
+++ b/crates/nutmegkeel_node/src/l4/configuration/watch.rs
@@ -196,7 +196,7 @@
         Ok(snapshot)
     }
 
-    /// Applies a complete snapshot.
+    /// Applies a complete list of what the operator wrote.
     fn apply_snapshot(&mut self, snapshot: Snapshot) -> Vec<Update> {
         // While there is no configuration yet, a watch waits for it: each repeated read would cost
         // a call. An old list may come without a revision to continue from.
