--- a/crates/nutmegkeel_core/src/l4/agent.rs
+++ b/crates/nutmegkeel_core/src/l4/agent.rs
@@ -88,7 +88,7 @@
     shares: Shares,
     refused: Refused,
     /// Service time of requests that found a free slot.
-    pace: Estimate,
+    service_time: Estimate,
     /// Measures how long a slot works on a request.
     meter: Meter,
     /// Whether the server was cold at the last tick.
@@ -148,7 +148,7 @@
             introduced: BTreeSet::new(),
             table: Table::default(),
             probes: Probes::default(),
-            pace: Estimate::default(),
+            service_time: Estimate::default(),
             meter: Meter::open(now),
             was_cold: false,
             outliers: outlier::Detector::default(),
@@ -374,6 +374,6 @@
 }
 
 fn reset(flow: Flow, client_ack: u32, cause: Cause) -> [Action; 2] {
-    let note = Decision::Reset { flow, cause, asked: 0, version: 0 };
-    [Action::Reset { flow, seq: client_ack }, Action::Log(note)]
+    let decision = Decision::Reset { flow, cause, asked: 0, version: 0 };
+    [Action::Reset { flow, seq: client_ack }, Action::Log(decision)]
 }
--- a/crates/nutmegkeel_core/src/l4/agent/answer.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/answer.rs
@@ -43,7 +43,7 @@
                 let found_slot = behind < slots;
                 self.record_answer(now, after_ms, found_slot);
                 if found_slot {
-                    self.pace.add(after_ms);
+                    self.service_time.add(after_ms);
                 }
                 vec![Action::CountAnswer(after_ms)]
             }
--- a/crates/nutmegkeel_core/src/l4/agent/contended.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/contended.rs
@@ -31,13 +31,18 @@
         let Some(state) = self.balancer_states.get(from) else {
             return;
         };
-        self.shares.record_request(now, *flow.client.ip(), &state.domain, self.pace.mean_us());
+        self.shares.record_request(
+            now,
+            *flow.client.ip(),
+            &state.domain,
+            self.service_time.mean_us(),
+        );
     }
 
     /// Records that a request goes to the server.
     pub(super) fn record_received(&mut self, now: Time, flow: Flow) {
         if self.uses(Mechanism::FairShares) {
-            self.shares.record_served(now, *flow.client.ip(), self.pace.mean_us());
+            self.shares.record_served(now, *flow.client.ip(), self.service_time.mean_us());
         }
     }
 
@@ -61,8 +66,8 @@
         Capacity {
             slots: self.slots(),
             at_server: u64::from(self.table.load().busy),
-            mean_us: self.pace.mean_us().max(measured_us),
-            most_us: self.pace.upper_us().max(measured_us),
+            mean_us: self.service_time.mean_us().max(measured_us),
+            most_us: self.service_time.upper_us().max(measured_us),
         }
     }
 
--- a/crates/nutmegkeel_core/src/l4/agent/request.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/request.rs
@@ -100,7 +100,7 @@
     /// not count, because the newest goes first.
     fn expected_ms(&self) -> u64 {
         let at_server = u64::from(self.table.load().busy);
-        (at_server + 1).div_ceil(self.slots()) * self.pace.upper_us() / 1_000
+        (at_server + 1).div_ceil(self.slots()) * self.service_time.upper_us() / 1_000
     }
 
     pub(super) fn slots(&self) -> u64 {
@@ -163,8 +163,8 @@
             self.table.record_client(now, head);
             return vec![Action::ToServer(0)];
         }
-        let note = Decision::Kept { flow: head.flow, cause: Cause::AllBusy };
-        if is_request { vec![Action::Keep(*head), Action::Log(note)] } else { Vec::new() }
+        let decision = Decision::Kept { flow: head.flow, cause: Cause::AllBusy };
+        if is_request { vec![Action::Keep(*head), Action::Log(decision)] } else { Vec::new() }
     }
 
     /// Releases waiting requests to the server as slots become free, and resets clients as soon as
@@ -185,10 +185,10 @@
             actions.extend(self.release_in_order(now));
             return actions;
         }
-        for waiting in self.waiting.take_expired(now, self.pace.mean_us() / 1_000) {
+        for waiting in self.waiting.take_expired(now, self.service_time.mean_us() / 1_000) {
             actions.extend(self.give_up(now, &waiting, Cause::Late));
         }
-        for waiting in self.waiting.take_excess(now, self.slots(), self.pace.mean_us()) {
+        for waiting in self.waiting.take_excess(now, self.slots(), self.service_time.mean_us()) {
             match waiting.request.filter(|_| self.table.is_open(&waiting.flow)) {
                 // The server itself rejects what it has no room for, which shows that the request
                 // has not run.
@@ -197,7 +197,8 @@
             }
         }
         while !self.is_saturated()
-            && let Some((waiting, request)) = self.waiting.pop(now, self.pace.upper_us() / 1_000)
+            && let Some((waiting, request)) =
+                self.waiting.pop(now, self.service_time.upper_us() / 1_000)
         {
             actions.extend(self.release_request(now, &waiting, &request));
         }
--- a/crates/nutmegkeel_core/src/l4/agent/server.rs
+++ b/crates/nutmegkeel_core/src/l4/agent/server.rs
@@ -136,7 +136,7 @@
     /// running.
     pub(super) fn check_mute(&mut self, now: Time) -> Vec<Action> {
         let outstanding = self.table.outstanding();
-        let limit = self.mute.check(now, outstanding, self.pace.upper_us());
+        let limit = self.mute.check(now, outstanding, self.service_time.upper_us());
         let Some(limit) = limit.filter(|_| self.uses(Mechanism::Mute)) else {
             return Vec::new();
         };
